--- a/crates/entry/src/gateway.rs
+++ b/crates/entry/src/gateway.rs
@@ -202,7 +202,7 @@
     let own = node.config.node.vm.as_str();
     let mut gateways = node.peers.live_domains();
     gateways.push((own.to_owned(), node.config.node.domain.as_str().to_owned()));
-    node.targets().share_out(own, &gateways);
+    node.targets().assign_homes(own, &gateways);
 }
 
 fn reload(node: &EntryNode, path: &std::path::Path) {
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -86,7 +86,7 @@
     target_feed: Mutex<TargetFeed>,
     jobs: Mutex<JobDesk>,
     crashes: Mutex<CrashTable>,
-    patience: Mutex<PatienceTable>,
+    patience: Mutex<RetryDetector>,
     dropped_routes: Mutex<DroppedRoutes>,
     intake: Mutex<IntakeTable>,
 }
@@ -161,7 +161,7 @@
     }
 
     /// How long clients wait.
-    pub fn patience(&self) -> MutexGuard<'_, PatienceTable> {
+    pub fn patience(&self) -> MutexGuard<'_, RetryDetector> {
         self.patience.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/crates/entry/src/online/crashes.rs
+++ b/crates/entry/src/online/crashes.rs
@@ -21,7 +21,7 @@
 
 /// Counts a break for all gateways, and tells them when the request is to be refused.
 pub fn count_break(node: &EntryNode, fingerprint: u64, target: &str) {
-    if !node.crashes().note_break(fingerprint, target, node.clock.mono()) {
+    if !node.crashes().note_interruption(fingerprint, target, node.clock.mono()) {
         return;
     }
     node.log.warn("request_crashes_targets", &[("fingerprint", &fingerprint), ("target", &target)]);
--- a/crates/entry/src/online/places.rs
+++ b/crates/entry/src/online/places.rs
@@ -15,20 +15,20 @@
 /// Finds a place for a request, and counts it there; `None` when it can't be in time anywhere.
 pub async fn find(
     node: &EntryNode,
-    search: &mut PlaceSearch,
+    search: &mut SlotSearch,
     query: &TargetQuery<'_>,
 ) -> Option<TargetChoice> {
     loop {
         let now = node.clock.mono();
         let step = search.next_step(&mut node.targets(), query, now, EntryNode::draw)?;
         match step {
-            PlaceStep::Take(choice, yields) => {
+            SlotSearchStep::Take(choice, yields) => {
                 if let Some(yields) = yields {
                     revoke(node, &choice.id, &yields);
                 }
                 return Some(choice);
             }
-            PlaceStep::Ask { home, may_displace } => {
+            SlotSearchStep::Ask { home, may_displace } => {
                 let granted = ask(node, search, &home, query, may_displace).await;
                 if granted.is_some() {
                     return granted;
@@ -40,7 +40,7 @@
 
 async fn ask(
     node: &EntryNode,
-    search: &mut PlaceSearch,
+    search: &mut SlotSearch,
     home: &VmName,
     query: &TargetQuery<'_>,
     may_displace: bool,
@@ -83,7 +83,7 @@
     avoid: &[String],
     may_displace: bool,
 ) {
-    let prompt = PromptHeads::default();
+    let prompt = PromptPrefixes::default();
     let (work, queue) = (WorkKind::Online, QueueLimit::Any);
     let query = TargetQuery { service, work, avoid, queue, prompt: &prompt };
     let now = node.clock.mono();
@@ -94,18 +94,18 @@
         None => PlaceAnswer::Denied(targets.shortest_queue(&query, now)),
     };
     drop(targets);
-    if let Some(PlaceGrant { id, yields: Some(yields) }) = &grant {
+    if let Some(SlotGrant { id, preempted: Some(yields) }) = &grant {
         revoke(node, id, yields);
     }
     node.peers.send(peer, PeerMessage::PlaceAnswer { call, answer });
 }
 
 /// Has an item yield its place at a target of this gateway.
-pub fn revoke(node: &EntryNode, target: &str, yields: &ItemYield) {
+pub fn revoke(node: &EntryNode, target: &str, yields: &PreemptedItem) {
     node.metrics.count(Counter::Event("item_places_revoked"));
     match yields {
-        ItemYield::Own => runner::yield_place(node, target),
-        ItemYield::Peer(vm) => {
+        PreemptedItem::Own => runner::yield_place(node, target),
+        PreemptedItem::Peer(vm) => {
             node.peers.send(vm, PeerMessage::PlaceRevoke { target: target.to_owned() });
         }
     }
--- a/crates/entry/src/online/relay.rs
+++ b/crates/entry/src/online/relay.rs
@@ -62,10 +62,10 @@
 fn queue_limit(node: &EntryNode, request: &OnlineRequest) -> QueueLimit {
     let objective = request.route.objective;
     let Some(patience) = request.patience else { return QueueLimit::Any };
-    let has_come_back = node.patience().has_come_back(&request.route.name, patience);
+    let is_retry = node.patience().is_retry(&request.route.name, patience);
     // Clients wait for a third of their time at most before they come back.
     let can_come_back = patience >= objective * COME_BACK_OBJECTIVES;
-    if has_come_back || !can_come_back || request.last_event().is_some() {
+    if is_retry || !can_come_back || request.last_event().is_some() {
         return QueueLimit::Any;
     }
     QueueLimit::Within(objective)
@@ -194,7 +194,7 @@
 
     /// Chooses a target and counts the request there.
     async fn choose(&mut self) -> Option<TargetChoice> {
-        let mut search = PlaceSearch::default();
+        let mut search = SlotSearch::default();
         let choice = places::find(self.node, &mut search, &self.query()).await;
         self.place_asks = search.asks();
         choice
@@ -245,7 +245,7 @@
     fn note_pace(&self, choice: &TargetChoice, began: MonoTime) {
         let Some(first) = self.first_sent.filter(|first| *first >= began) else { return };
         let run = self.now().since(began);
-        let first = choice.place_free.then(|| first.since(began));
+        let first = choice.has_free_slot.then(|| first.since(began));
         self.node.targets().note_online_run(&self.service, run, first);
     }
 
@@ -276,7 +276,7 @@
         if !self.has_attempts() {
             return left;
         }
-        let share = if choice.place_free { FIRST_BYTE_FREE } else { FIRST_BYTE_QUEUED };
+        let share = if choice.has_free_slot { FIRST_BYTE_FREE } else { FIRST_BYTE_QUEUED };
         self.request.route.objective.mul_f64(share).min(left)
     }
 
@@ -361,7 +361,7 @@
     /// When a client that was turned away should come back: when what runs now has ended, so that a
     /// place is likely free; spread over as long again, so that they don't come back together.
     fn come_back_after(&self) -> Duration {
-        let run = self.node.targets().pace(&self.service).run().unwrap_or(RETRY_AFTER);
+        let run = self.node.targets().latency(&self.service).run().unwrap_or(RETRY_AFTER);
         run.mul_f64(1.0 + EntryNode::draw())
     }
 
--- a/crates/entry/src/online/request.rs
+++ b/crates/entry/src/online/request.rs
@@ -32,7 +32,7 @@
     /// When its head was read.
     pub arrived: MonoTime,
     /// What it says of its prompt.
-    pub prompt: PromptHeads,
+    pub prompt: PromptPrefixes,
     /// Of its path and body: the same when the client sends it again.
     pub fingerprint: u64,
     /// How long the client waits, if it says.
--- a/crates/entry/src/peers/demands.rs
+++ b/crates/entry/src/peers/demands.rs
@@ -97,7 +97,7 @@
 }
 
 fn note_places(node: &EntryNode, now: MonoTime) {
-    let places = node.targets().item_places(now);
+    let places = node.targets().item_slots(now);
     let mut desk = node.jobs();
     let mut intake = node.intake();
     for (service, places) in &places {
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -61,7 +61,7 @@
     gateway: usize,
     arrived: MonoTime,
     avoid: Vec<String>,
-    search: PlaceSearch,
+    search: SlotSearch,
     /// Questions asked so far.
     asked: u32,
     /// Number of the question that it waits for; 0 for none.
@@ -330,7 +330,7 @@
             alive.map(|g| (g.vm.as_str().to_owned(), g.domain.clone())).collect();
         for gateway in &mut self.gateways {
             let own = gateway.vm.as_str().to_owned();
-            gateway.table.share_out(&own, &alive);
+            gateway.table.assign_homes(&own, &alive);
         }
     }
 
--- a/crates/lab/src/world/items.rs
+++ b/crates/lab/src/world/items.rs
@@ -19,7 +19,7 @@
 const STARTS_PER_PASS: usize = 6;
 
 fn item_query() -> TargetQuery<'static> {
-    static NO_PROMPT: LazyLock<PromptHeads> = LazyLock::new(PromptHeads::default);
+    static NO_PROMPT: LazyLock<PromptPrefixes> = LazyLock::new(PromptPrefixes::default);
     let (work, queue) = (WorkKind::Batch, QueueLimit::Any);
     TargetQuery { service: SERVICE, work, avoid: &[], queue, prompt: &NO_PROMPT }
 }
@@ -94,10 +94,10 @@
     }
 
     /// Has an item yield its place at a target of `home`.
-    pub(super) fn revoke(&mut self, home: usize, id: &str, yields: &ItemYield) {
+    pub(super) fn revoke(&mut self, home: usize, id: &str, yields: &PreemptedItem) {
         match yields {
-            ItemYield::Own => self.yield_place(home, id),
-            ItemYield::Peer(vm) => {
+            PreemptedItem::Own => self.yield_place(home, id),
+            PreemptedItem::Peer(vm) => {
                 let Some(gateway) = self.gateways.iter().position(|g| g.vm == *vm) else { return };
                 let target = id.to_owned();
                 self.schedule.add(self.pattern.delay, LabEvent::Revoke { gateway, target });
--- a/crates/lab/src/world/online.rs
+++ b/crates/lab/src/world/online.rs
@@ -18,7 +18,7 @@
 const ATTEMPTS: usize = 3;
 
 fn online_query(request: &LabRequest, queue: QueueLimit) -> TargetQuery<'_> {
-    static NO_PROMPT: LazyLock<PromptHeads> = LazyLock::new(PromptHeads::default);
+    static NO_PROMPT: LazyLock<PromptPrefixes> = LazyLock::new(PromptPrefixes::default);
     let (work, avoid) = (WorkKind::Online, request.avoid.as_slice());
     TargetQuery { service: SERVICE, work, avoid, queue, prompt: &NO_PROMPT }
 }
@@ -53,7 +53,7 @@
         let table = &mut self.gateways[asking.gateway].table;
         match table.choose(&query, now, || random.random()) {
             Some(choice) => {
-                if !choice.place_free {
+                if !choice.has_free_slot {
                     self.yield_place(asking.gateway, &choice.id);
                 }
                 self.send(request, &choice);
@@ -73,13 +73,15 @@
         let step = search.next_step(table, &query, now, || random.random());
         self.requests[request].search = search;
         match step {
-            Some(PlaceStep::Take(choice, yields)) => {
+            Some(SlotSearchStep::Take(choice, yields)) => {
                 if let Some(yields) = yields {
                     self.revoke(gateway, &choice.id, &yields);
                 }
                 self.send(request, &choice);
             }
-            Some(PlaceStep::Ask { home, may_displace }) => self.ask(request, &home, may_displace),
+            Some(SlotSearchStep::Ask { home, may_displace }) => {
+                self.ask(request, &home, may_displace)
+            }
             None => self.outcome.refused += 1,
         }
     }
@@ -109,7 +111,7 @@
         let peer = self.gateways[asking.gateway].vm.clone();
         let query = online_query(asking, QueueLimit::Any);
         let grant = self.gateways[home].table.grant(&peer, &query, may_displace, now);
-        if let Some(PlaceGrant { id, yields: Some(yields) }) = &grant {
+        if let Some(SlotGrant { id, preempted: Some(yields) }) = &grant {
             self.revoke(home, id, yields);
         }
         let target = grant.map(|grant| grant.id);
--- a/crates/relay/src/targets/choice.rs
+++ b/crates/relay/src/targets/choice.rs
@@ -5,7 +5,7 @@
 use notch_types::prelude::VmName;
 use serde::{Deserialize, Serialize};
 
-use crate::targets::prompt::PromptHeads;
+use crate::targets::prompt::PromptPrefixes;
 
 /// Which work asks for a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -41,7 +41,7 @@
     /// How long it may wait for a place.
     pub queue: QueueLimit,
     /// Its prompt: a target that has read its beginning is a little nearer.
-    pub prompt: &'a PromptHeads,
+    pub prompt: &'a PromptPrefixes,
 }
 
 /// The target chosen.
@@ -54,7 +54,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// Whether a place was free there as far as is known.
-    pub place_free: bool,
+    pub has_free_slot: bool,
     /// This gateway's requests there before this one.
     pub own_load: u32,
     /// The other gateways' requests there, as last reported.
--- a/crates/relay/src/targets/crashes.rs
+++ b/crates/relay/src/targets/crashes.rs
@@ -42,7 +42,7 @@
 
     /// A target broke a request off before its first event; true when the request is to be refused
     /// from now on.
-    pub fn note_break(&mut self, fingerprint: u64, target: &str, now: MonoTime) -> bool {
+    pub fn note_interruption(&mut self, fingerprint: u64, target: &str, now: MonoTime) -> bool {
         self.expire(now);
         let record = self.records.entry(fingerprint).or_insert_with(|| {
             self.ages.push_back(fingerprint);
--- a/crates/relay/src/targets/pace.rs
+++ b/crates/relay/src/targets/pace.rs
@@ -12,14 +12,14 @@
 
 /// What is learned of a service's online answers.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct ServicePace {
+pub struct ServiceLatency {
     /// Seconds that a whole answer takes.
     run: LearnedMean,
     /// Seconds to the beginning of an answer that found a place free.
     first: LearnedMean,
 }
 
-impl ServicePace {
+impl ServiceLatency {
     /// A whole answer took `run`; it began after `first` where a place was free.
     pub fn note(&mut self, run: Duration, first: Option<Duration>) {
         self.run.note(run.as_secs_f64(), PACE_WEIGHT);
--- a/crates/relay/src/targets/patience.rs
+++ b/crates/relay/src/targets/patience.rs
@@ -13,13 +13,13 @@
 
 /// The longest time that clients of each route give their requests.
 #[derive(Debug, Default)]
-pub struct PatienceTable {
+pub struct RetryDetector {
     longest: FastMap<String, Duration>,
 }
 
-impl PatienceTable {
+impl RetryDetector {
     /// Notes a request's time; whether the client has spent some of it on an attempt before.
-    pub fn has_come_back(&mut self, route: &str, patience: Duration) -> bool {
+    pub fn is_retry(&mut self, route: &str, patience: Duration) -> bool {
         if let Some(longest) = self.longest.get_mut(route) {
             *longest = patience.max(*longest);
             return patience + SPENT_LEAST < *longest;
--- a/crates/relay/src/targets/places.rs
+++ b/crates/relay/src/targets/places.rs
@@ -5,7 +5,7 @@
 
 /// Whose item yields a place.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ItemYield {
+pub enum PreemptedItem {
     /// One of this gateway.
     Own,
     /// One of another gateway.
@@ -23,9 +23,9 @@
 
 /// A place that a home grants another gateway.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct PlaceGrant {
+pub struct SlotGrant {
     /// The target's id.
     pub id: String,
     /// Whose item has to yield the place, at once; `None` where it is free.
-    pub yields: Option<ItemYield>,
+    pub preempted: Option<PreemptedItem>,
 }
--- a/crates/relay/src/targets/record.rs
+++ b/crates/relay/src/targets/record.rs
@@ -7,7 +7,7 @@
     choice::{QueueLimit, WorkKind},
     entry::{TargetEntry, TargetState},
     health::TargetHealth,
-    pace::ServicePace,
+    pace::ServiceLatency,
 };
 
 /// Places of another gateway's home target that batch leaves free: its load is known late.
@@ -120,7 +120,7 @@
 
     /// Whether an online request that comes now likely begins in time. Own items yield their places at
     /// once.
-    pub(super) fn is_in_time(&self, queue: QueueLimit, pace: &ServicePace) -> bool {
+    pub(super) fn is_in_time(&self, queue: QueueLimit, pace: &ServiceLatency) -> bool {
         match queue {
             QueueLimit::Any => true,
             QueueLimit::Within(objective) => {
--- a/crates/relay/src/targets/search.rs
+++ b/crates/relay/src/targets/search.rs
@@ -10,7 +10,7 @@
 
 use crate::targets::{
     choice::{TargetChoice, TargetQuery},
-    places::{ItemYield, QueueOffer},
+    places::{PreemptedItem, QueueOffer},
     table::TargetTable,
 };
 
@@ -25,9 +25,9 @@
 
 /// What comes next in the search for a place.
 #[derive(Debug, PartialEq, Eq)]
-pub enum PlaceStep {
+pub enum SlotSearchStep {
     /// The request is counted at this target. Where an item has to yield its place there, whose.
-    Take(TargetChoice, Option<ItemYield>),
+    Take(TargetChoice, Option<PreemptedItem>),
     /// Ask a gateway for a place at one of its targets; with `may_displace` also for one that an item has.
     Ask {
         /// The gateway.
@@ -39,13 +39,13 @@
 
 /// The search for a place for one online request.
 #[derive(Debug, Default)]
-pub struct PlaceSearch {
+pub struct SlotSearch {
     asks: u32,
     /// The shortest queue that another gateway offered.
     offer: Option<QueueOffer>,
 }
 
-impl PlaceSearch {
+impl SlotSearch {
     /// Gateways asked so far.
     pub fn asks(&self) -> u32 {
         self.asks
@@ -60,16 +60,16 @@
         query: &TargetQuery<'_>,
         now: MonoTime,
         mut draw: impl FnMut() -> f64,
-    ) -> Option<PlaceStep> {
+    ) -> Option<SlotSearchStep> {
         if let Some(own) = targets.pick_own(query, now, &mut draw) {
-            return targets.take(query, own).map(|choice| PlaceStep::Take(choice, None));
+            return targets.take(query, own).map(|choice| SlotSearchStep::Take(choice, None));
         }
         if let Some(ask) = self.ask(targets, query, FREE_ASKS, false, now, &mut draw) {
             return Some(ask);
         }
-        if let Some((own, yields)) = targets.pick_yielding(query, now) {
-            let choice = targets.take(query, TargetChoice { place_free: true, ..own })?;
-            return Some(PlaceStep::Take(choice, Some(yields)));
+        if let Some((own, preempted)) = targets.pick_yielding(query, now) {
+            let choice = targets.take(query, TargetChoice { has_free_slot: true, ..own })?;
+            return Some(SlotSearchStep::Take(choice, Some(preempted)));
         }
         if let Some(ask) = self.ask(targets, query, PLACE_ASKS, true, now, &mut draw) {
             return Some(ask);
@@ -83,8 +83,8 @@
             targets.pick(&query, now, &mut draw)
         })?;
         let choice = targets.take(query, pick)?;
-        let yields = (!choice.place_free).then_some(ItemYield::Own);
-        Some(PlaceStep::Take(choice, yields))
+        let preempted = (!choice.has_free_slot).then_some(PreemptedItem::Own);
+        Some(SlotSearchStep::Take(choice, preempted))
     }
 
     fn ask(
@@ -95,13 +95,13 @@
         may_displace: bool,
         now: MonoTime,
         draw: &mut impl FnMut() -> f64,
-    ) -> Option<PlaceStep> {
+    ) -> Option<SlotSearchStep> {
         if self.asks >= most {
             return None;
         }
         let home = targets.home_to_ask(query, may_displace, now, draw)?;
         self.asks += 1;
-        Some(PlaceStep::Ask { home, may_displace })
+        Some(SlotSearchStep::Ask { home, may_displace })
     }
 
     /// A home has no place, but the queue that it offers.
--- a/crates/relay/src/targets/table.rs
+++ b/crates/relay/src/targets/table.rs
@@ -12,7 +12,7 @@
     failure::AttemptFailure,
     health::TargetHealth,
     homes::TargetHomes,
-    pace::ServicePace,
+    pace::ServiceLatency,
     record::{TargetRecord, TargetUse},
     warm_prompts::WarmPrompts,
 };
@@ -61,7 +61,7 @@
     /// Share of the other gateways' home targets that one choice looks at.
     foreign_share: f64,
     /// How long answers take, by service.
-    paces: FastMap<String, ServicePace>,
+    paces: FastMap<String, ServiceLatency>,
     /// What targets have read of prompts.
     warm: WarmPrompts,
     /// Own use of targets whose entry is gone, until their last request ends.
@@ -145,7 +145,7 @@
     }
 
     /// Places left to items now, by service: those that no online request has, at targets that take requests.
-    pub fn item_places(&self, now: MonoTime) -> FastMap<String, u32> {
+    pub fn item_slots(&self, now: MonoTime) -> FastMap<String, u32> {
         let mut places: FastMap<String, u32> = FastMap::default();
         for record in self.records.values() {
             let is_able = record.entry.state == TargetState::Ready
@@ -222,7 +222,7 @@
             id: id.clone(),
             name: record.entry.name.clone(),
             address: record.entry.address,
-            place_free: record.has_place(),
+            has_free_slot: record.has_place(),
             own_load: record.own.total(),
             reported_load: record.others.total(),
             is_home: self.homes.is_shared() && self.homes.is_own(id),
@@ -242,7 +242,7 @@
     ) -> Option<(f64, &TargetRecord)> {
         let TargetQuery { service, work, avoid, queue, prompt } = *query;
         let warm = self.warm.warm_tokens(prompt);
-        let pace = self.pace(service);
+        let pace = self.latency(service);
         let mut best: Option<(f64, &TargetRecord)> = None;
         let mut fallback: Option<(f64, &TargetRecord)> = None;
         for record in self.records.values() {
@@ -279,7 +279,7 @@
     }
 
     /// How long answers of `service` take.
-    pub fn pace(&self, service: &str) -> ServicePace {
+    pub fn latency(&self, service: &str) -> ServiceLatency {
         self.paces.get(service).copied().unwrap_or_default()
     }
 
@@ -387,7 +387,7 @@
     /// same names, so they mostly choose among different targets, whose load each knows exactly;
     /// reports of the others' use come a tenth of a second late. `gateways` are all that are alive,
     /// this one among them, each with its failure domain.
-    pub fn share_out(&mut self, own: &str, gateways: &[(String, String)]) {
+    pub fn assign_homes(&mut self, own: &str, gateways: &[(String, String)]) {
         let entries = self.records.values().map(|record| &record.entry);
         let targets = entries.map(|entry| (entry.id.as_str(), entry.domain.as_str()));
         self.homes.divide(own, targets.collect(), gateways);
--- a/crates/relay/src/targets/table/admission.rs
+++ b/crates/relay/src/targets/table/admission.rs
@@ -4,7 +4,7 @@
 
 use crate::targets::{
     choice::{QueueLimit, TargetChoice, TargetQuery, WorkKind},
-    places::{ItemYield, PlaceGrant, QueueOffer},
+    places::{PreemptedItem, QueueOffer, SlotGrant},
     record::{TargetRecord, UseChange},
     table::{PeerReport, TargetTable},
 };
@@ -22,11 +22,11 @@
         &mut self,
         query: &TargetQuery<'_>,
         now: MonoTime,
-    ) -> Option<(TargetChoice, ItemYield)> {
+    ) -> Option<(TargetChoice, PreemptedItem)> {
         let record = self.yielding_record(query.service, query.avoid, now)?;
         let choice = self.choice_of(record);
-        let yields = self.revoke_item(&choice.id, now)?;
-        Some((choice, yields))
+        let preempted = self.revoke_item(&choice.id, now)?;
+        Some((choice, preempted))
     }
 
     /// The gateway to ask for a place: one that has places as far as is known, else any that may have one
@@ -67,7 +67,8 @@
         if !record.takes(query.service) {
             return None;
         }
-        let choice = TargetChoice { place_free: true, is_granted: true, ..self.choice_of(record) };
+        let choice =
+            TargetChoice { has_free_slot: true, is_granted: true, ..self.choice_of(record) };
         self.take(query, choice)
     }
 
@@ -81,18 +82,18 @@
         query: &TargetQuery<'_>,
         may_displace: bool,
         now: MonoTime,
-    ) -> Option<PlaceGrant> {
+    ) -> Option<SlotGrant> {
         let TargetQuery { service, avoid, .. } = *query;
         let able = self.own_records(service, avoid, now).filter(|record| record.has_place());
         let load = |record: &TargetRecord| record.score(&self.domain, true, now);
         let free = able.min_by(|a, b| load(a).total_cmp(&load(b)));
-        let free = free.map(|record| PlaceGrant { id: record.entry.id.clone(), yields: None });
+        let free = free.map(|record| SlotGrant { id: record.entry.id.clone(), preempted: None });
         let grant = match free {
             Some(grant) => grant,
             None if may_displace => {
                 let id = self.yielding_record(service, avoid, now)?.entry.id.clone();
-                let yields = Some(self.revoke_item(&id, now)?);
-                PlaceGrant { id, yields }
+                let preempted = Some(self.revoke_item(&id, now)?);
+                SlotGrant { id, preempted }
             }
             None => return None,
         };
@@ -118,13 +119,13 @@
         let own = self.shortest_queue(query, now).map_or(u32::MAX, |own| own.waiting);
         let record = self.records.get(&offer.id).filter(|record| record.takes(query.service))?;
         let ahead = record.entry.slots + offer.waiting;
-        let pace = self.pace(query.service);
+        let pace = self.latency(query.service);
         let is_in_time = match query.queue {
             QueueLimit::Any => true,
             QueueLimit::Within(objective) => pace.is_in_time(ahead, record.entry.slots, objective),
         };
         let is_shorter = offer.waiting < own && is_in_time;
-        is_shorter.then(|| TargetChoice { place_free: false, ..self.choice_of(record) })
+        is_shorter.then(|| TargetChoice { has_free_slot: false, ..self.choice_of(record) })
     }
 
     /// This gateway's own targets that take requests of a service.
@@ -158,16 +159,16 @@
 
     /// Decides whose item yields its place at an own target: one of this gateway's, else one of the
     /// gateway with most items there, which isn't counted from now on.
-    fn revoke_item(&mut self, id: &str, now: MonoTime) -> Option<ItemYield> {
+    fn revoke_item(&mut self, id: &str, now: MonoTime) -> Option<PreemptedItem> {
         if self.records.get(id)?.own.batch > 0 {
-            return Some(ItemYield::Own);
+            return Some(PreemptedItem::Own);
         }
         let items = |report: &PeerReport| report.uses.get(id).map_or(0, |used| used.batch);
         let holders = self.reports.iter().filter(|(_, report)| items(report) > 0);
         let (peer, _) = holders.max_by_key(|(peer, report)| (items(report), peer.as_str()))?;
         let peer = peer.clone();
         self.note_peer_use(&peer, id, WorkKind::Batch, UseChange::End, now);
-        Some(ItemYield::Peer(peer))
+        Some(PreemptedItem::Peer(peer))
     }
 
     /// Another gateway began or ended a request at a target. Its next report tells the same again.
--- a/crates/relay/src/targets/warm_prompts.rs
+++ b/crates/relay/src/targets/warm_prompts.rs
@@ -4,7 +4,7 @@
 
 use notch_types::prelude::*;
 
-use crate::targets::prompt::PromptHeads;
+use crate::targets::prompt::PromptPrefixes;
 
 /// Beginnings remembered, at most; the oldest are forgotten first. A gateway passes on 20 requests a
 /// second with two or three parts, and targets keep parts for some seconds.
@@ -23,7 +23,7 @@
 
 impl WarmPrompts {
     /// A request with this prompt goes to `target`.
-    pub fn note(&mut self, prompt: &PromptHeads, target: &str) {
+    pub fn note(&mut self, prompt: &PromptPrefixes, target: &str) {
         for head in prompt.as_slice() {
             let list = self.targets.entry(head.fingerprint).or_insert_with(|| {
                 self.ages.push_back(head.fingerprint);
@@ -40,7 +40,7 @@
     }
 
     /// Tokens of the prompt that each target has likely read.
-    pub fn warm_tokens(&self, prompt: &PromptHeads) -> FastMap<&str, u32> {
+    pub fn warm_tokens(&self, prompt: &PromptPrefixes) -> FastMap<&str, u32> {
         let mut tokens = FastMap::default();
         for head in prompt.as_slice() {
             let readers = self.targets.get(&head.fingerprint).into_iter().flatten();
--- a/crates/relay/tests/places.rs
+++ b/crates/relay/tests/places.rs
@@ -25,7 +25,7 @@
 }
 
 fn query(work: WorkKind, queue: QueueLimit) -> TargetQuery<'static> {
-    static NO_PROMPT: LazyLock<PromptHeads> = LazyLock::new(PromptHeads::default);
+    static NO_PROMPT: LazyLock<PromptPrefixes> = LazyLock::new(PromptPrefixes::default);
     TargetQuery { service: "llm", work, avoid: &[], queue, prompt: &NO_PROMPT }
 }
 
@@ -42,16 +42,16 @@
     let mut table = TargetTable::new("a");
     table.put(entry("t1", "a"), NOW);
     table.put(entry("t2", "b"), NOW);
-    table.share_out(own, &[pair("g1", "a"), pair("g2", "b")]);
+    table.assign_homes(own, &[pair("g1", "a"), pair("g2", "b")]);
     table
 }
 
-fn grant(table: &mut TargetTable, peer: &str, may_displace: bool) -> Option<PlaceGrant> {
+fn grant(table: &mut TargetTable, peer: &str, may_displace: bool) -> Option<SlotGrant> {
     table.grant(&VmName::new(peer), &online(), may_displace, NOW)
 }
 
-fn free_place(id: &str) -> Option<PlaceGrant> {
-    Some(PlaceGrant { id: id.to_owned(), yields: None })
+fn free_place(id: &str) -> Option<SlotGrant> {
+    Some(SlotGrant { id: id.to_owned(), preempted: None })
 }
 
 fn report(table: &mut TargetTable, peer: &str, id: &str, online: u32, batch: u32) {
@@ -100,7 +100,7 @@
     home.choose(&query(WorkKind::Batch, QueueLimit::Any), NOW, || 0.0).expect("a place is free");
     report(&mut home, "g2", "t1", 3, 0);
     assert_eq!(grant(&mut home, "g3", false), None);
-    let yielded = PlaceGrant { id: "t1".to_owned(), yields: Some(ItemYield::Own) };
+    let yielded = SlotGrant { id: "t1".to_owned(), preempted: Some(PreemptedItem::Own) };
     assert_eq!(grant(&mut home, "g3", true), Some(yielded));
     assert_eq!(grant(&mut home, "g3", true), None, "one item yields once");
 }
@@ -111,9 +111,9 @@
     let mut home = table_of("g1");
     report(&mut home, "g2", "t1", 1, 1);
     report(&mut home, "g3", "t1", 0, 2);
-    let yields = |grant: Option<PlaceGrant>| grant.and_then(|grant| grant.yields);
-    let of = |peer: &str| Some(ItemYield::Peer(VmName::new(peer)));
-    assert_eq!(yields(grant(&mut home, "g4", true)), of("g3"), "it has most items there");
+    let preempted = |grant: Option<SlotGrant>| grant.and_then(|grant| grant.preempted);
+    let of = |peer: &str| Some(PreemptedItem::Peer(VmName::new(peer)));
+    assert_eq!(preempted(grant(&mut home, "g4", true)), of("g3"), "it has most items there");
     let (_, own) = home.pick_yielding(&online(), NOW).expect("items yield to own requests, too");
     assert!([of("g2"), of("g3")].contains(&Some(own)));
 }
@@ -180,7 +180,7 @@
     for number in 0..targets {
         table.put(entry(&format!("t{number:03}"), "a"), NOW);
     }
-    table.share_out(own, gateways);
+    table.assign_homes(own, gateways);
     let granted = std::iter::from_fn(|| grant(&mut table, "peer", false));
     let mut ids: Vec<String> = granted.map(|grant| grant.id).collect();
     ids.sort();
--- a/crates/relay/tests/targets.rs
+++ b/crates/relay/tests/targets.rs
@@ -22,7 +22,7 @@
 
 /// What is chosen for: work without a word about its prompt.
 fn query(work: WorkKind, avoid: &[String]) -> TargetQuery<'_> {
-    static NO_PROMPT: LazyLock<PromptHeads> = LazyLock::new(PromptHeads::default);
+    static NO_PROMPT: LazyLock<PromptPrefixes> = LazyLock::new(PromptPrefixes::default);
     TargetQuery { service: "llm", work, avoid, queue: QueueLimit::Any, prompt: &NO_PROMPT }
 }
 
@@ -132,7 +132,10 @@
 #[test]
 fn batch_leaves_three_places_free_at_another_gateways_target() {
     let mut table = table(&["t1"]);
-    table.share_out("g2", &[("g1".to_owned(), "a".to_owned()), ("g2".to_owned(), "b".to_owned())]);
+    table.assign_homes(
+        "g2",
+        &[("g1".to_owned(), "a".to_owned()), ("g2".to_owned(), "b".to_owned())],
+    );
     let now = MonoTime::default();
     let mut batch = || table.choose(&query(WorkKind::Batch, &[]), now, || 0.0).is_some();
     assert_eq!([batch(), batch()], [true, false]);
@@ -164,7 +167,7 @@
     let mut homes = Vec::new();
     for own in ["g1", "g2", "g3"] {
         let mut table = table(&ids);
-        table.share_out(own, &gateways);
+        table.assign_homes(own, &gateways);
         for _ in 0..ids.len() {
             let now = MonoTime::default();
             let choice = table.choose(&query(WorkKind::Online, &[]), now, || 0.0);
@@ -287,15 +290,15 @@
 fn a_target_that_has_read_the_prompt_is_nearer(#[case] tokens: u32, #[case] follows: bool) {
     let mut table = table(&["t1", "t2"]);
     let now = MonoTime::from_millis(1);
-    let prompt = |own| PromptHeads::of_parts("m", [("shared", tokens), (own, 5)]);
-    let mut choose = |prompt: &PromptHeads| {
+    let prompt = |own| PromptPrefixes::of_parts("m", [("shared", tokens), (own, 5)]);
+    let mut choose = |prompt: &PromptPrefixes| {
         let query = TargetQuery { prompt, ..query(WorkKind::Online, &[]) };
         let choice = table.choose(&query, now, || 0.0).expect("places");
         choice.id
     };
     let first = choose(&prompt("a"));
     assert_eq!(choose(&prompt("b")) == first, follows);
-    let other = PromptHeads::of_parts("m", [("other", tokens)]);
+    let other = PromptPrefixes::of_parts("m", [("other", tokens)]);
     choose(&other);
     let spread: Vec<_> = (0..4).map(|_| choose(&prompt("c"))).collect();
     assert!(spread.contains(&"t1".to_owned()) && spread.contains(&"t2".to_owned()), "{spread:?}");
@@ -304,7 +307,7 @@
 #[test]
 fn another_model_or_order_of_parts_is_another_prompt() {
     let heads = |model, parts: &[(&'static str, u32)]| {
-        PromptHeads::of_parts(model, parts.iter().copied()).as_slice().to_vec()
+        PromptPrefixes::of_parts(model, parts.iter().copied()).as_slice().to_vec()
     };
     let one = heads("m", &[("a", 10), ("b", 20)]);
     assert_eq!(one.iter().map(|head| head.tokens).collect::<Vec<_>>(), [10, 30]);
@@ -339,7 +342,7 @@
     let ids: Vec<String> = (0..20).map(|n| format!("t{n:02}")).collect();
     let mut table = table(&ids.iter().map(String::as_str).collect::<Vec<_>>());
     let gateways: Vec<_> = (0..10).map(|n| (format!("g-{n}"), "a".to_owned())).collect();
-    table.share_out("g-0", &gateways);
+    table.assign_homes("g-0", &gateways);
     table.note_online_run("llm", Duration::from_secs(4), Some(Duration::from_millis(50)));
     let queue = QueueLimit::Within(Duration::from_millis(300));
     let query = TargetQuery { queue, ..query(WorkKind::Online, &[]) };
@@ -356,7 +359,7 @@
 #[case::two_ends_away(9, true)]
 #[case::three_ends_away(10, false)]
 fn an_answer_is_in_time_by_the_ends_that_it_waits_for(#[case] ahead: u32, #[case] in_time: bool) {
-    let mut pace = ServicePace::default();
+    let mut pace = ServiceLatency::default();
     assert!(pace.is_in_time(1_000, 8, Duration::from_millis(300)), "nothing is known yet");
     for _ in 0..200 {
         pace.note(Duration::from_millis(760), Some(Duration::from_millis(45)));
@@ -366,10 +369,10 @@
 
 #[test]
 fn a_client_with_less_time_than_others_has_come_back() {
-    let mut table = PatienceTable::default();
+    let mut table = RetryDetector::default();
     let millis = Duration::from_millis;
-    assert!(!table.has_come_back("r1", millis(5_000)));
-    assert!(!table.has_come_back("r1", millis(4_990)));
-    assert!(table.has_come_back("r1", millis(4_100)));
-    assert!(!table.has_come_back("r2", millis(4_100)), "another route's clients");
+    assert!(!table.is_retry("r1", millis(5_000)));
+    assert!(!table.is_retry("r1", millis(4_990)));
+    assert!(table.is_retry("r1", millis(4_100)));
+    assert!(!table.is_retry("r2", millis(4_100)), "another route's clients");
 }
