--- a/crates/entry/src/batch/copies.rs
+++ b/crates/entry/src/batch/copies.rs
@@ -57,8 +57,8 @@
     }
 
     fn weight(&self) -> usize {
-        let lines: usize = self.lines.iter().map(|line| line.weight()).sum();
-        lines + self.spec.as_ref().map_or(0, |spec| spec.weight())
+        let lines: usize = self.lines.iter().map(|line| line.approx_bytes()).sum();
+        lines + self.spec.as_ref().map_or(0, |spec| spec.approx_bytes())
     }
 }
 
--- a/crates/entry/src/batch/desk.rs
+++ b/crates/entry/src/batch/desk.rs
@@ -56,7 +56,7 @@
 #[derive(Debug, Default)]
 pub struct JobDesk {
     /// Jobs that this gateway owns.
-    pub board: JobBoard,
+    pub board: JobTable,
     /// Results and bodies of jobs for readers.
     pub copies: JobCopies,
     /// Runs under way, by number.
@@ -322,6 +322,6 @@
 
     /// Bytes of jobs held, about.
     pub fn weight(&self) -> usize {
-        self.board.iter().map(|job| job.spec().weight()).sum()
+        self.board.iter().map(|job| job.spec().approx_bytes()).sum()
     }
 }
--- a/crates/entry/src/batch/intake.rs
+++ b/crates/entry/src/batch/intake.rs
@@ -95,7 +95,7 @@
         Err(_) => return answer(node, id, "not_a_job", OwnAnswer::of(400), arrived),
     };
     record.limit_tokens = spec.limit_tokens();
-    if node.jobs().weight() + spec.weight() > JOB_BYTES {
+    if node.jobs().weight() + spec.approx_bytes() > JOB_BYTES {
         return answer(node, id, "jobs_full", OwnAnswer::refused(RETRY_AFTER_START), arrived);
     }
     if !node.jobs().begin(id) {
@@ -225,7 +225,7 @@
 ) -> IntakeOutcome {
     let mut was_unclear = false;
     // The write itself makes it ours; it may be another gateway's by the time the answer is read.
-    let asked = node.jobs().board.last_doubt();
+    let asked = node.jobs().board.ownership_generation();
     loop {
         match create_job(&node.store, &spec.id, &record, &text).await {
             Ok(true) => {
@@ -248,7 +248,7 @@
 
 /// The job is stored, after a write whose answer was lost: it's ours if our record stands there.
 async fn settle(node: &Arc<EntryNode>, spec: Arc<JobSpec>, record: &JobRecord) -> IntakeOutcome {
-    let asked = node.jobs().board.last_doubt();
+    let asked = node.jobs().board.ownership_generation();
     let stored =
         until_answered(|| true, || read_job(&node.store, &spec.id, StoreCallCause::JobStored))
             .await
@@ -267,7 +267,7 @@
 }
 
 /// Begins to run a job that is stored as ours, by an answer asked for under `asked`.
-fn own_job(node: &Arc<EntryNode>, spec: Arc<JobSpec>, asked: DoubtNumber) {
+fn own_job(node: &Arc<EntryNode>, spec: Arc<JobSpec>, asked: OwnershipGeneration) {
     let id = spec.id.clone();
     let items = spec.items.len();
     let mut owned = OwnedJob::new(spec, Vec::new(), node.clock.now());
--- a/crates/entry/src/batch/item_run.rs
+++ b/crates/entry/src/batch/item_run.rs
@@ -104,10 +104,10 @@
         Some(Ok(200..300)) => ItemEnd::Completed,
         Some(Ok(422)) => ItemEnd::Impossible,
         Some(Ok(500)) => ItemEnd::Failed,
-        Some(Ok(_)) => ItemEnd::Broken,
+        Some(Ok(_)) => ItemEnd::Interrupted,
         Some(Err(failure)) => match failure.verdict() {
             RunVerdict::NotRun => ItemEnd::NotRun,
-            RunVerdict::Unknown => ItemEnd::Broken,
+            RunVerdict::Unknown => ItemEnd::Interrupted,
         },
     }
 }
--- a/crates/entry/src/batch/ownership.rs
+++ b/crates/entry/src/batch/ownership.rs
@@ -36,7 +36,7 @@
 /// heard, all are checked at once, for it may be running what others run, too.
 pub fn doubt_all(node: &Arc<EntryNode>, cause: &'static str, silence: PeerSilence) {
     let mut desk = node.jobs();
-    desk.board.doubt_all();
+    desk.board.invalidate_all_ownership();
     let jobs = desk.open_owned().len();
     drop(desk);
     if silence == PeerSilence::OfMost {
@@ -51,7 +51,7 @@
 
 /// This job may have been taken over: the store is asked at once.
 pub fn doubt(node: &Arc<EntryNode>, job: &str, cause: &'static str) {
-    node.jobs().board.doubt(job);
+    node.jobs().board.invalidate_ownership(job);
     node.log.info("ownership_doubted", &[("job", &job), ("cause", &cause)]);
     let (node, job) = (Arc::clone(node), job.to_owned());
     task::spawn(async move { verify(&node, &job).await });
@@ -123,7 +123,7 @@
 /// The store didn't answer.
 pub async fn check(node: &EntryNode, job: &str) -> Result<bool, StoreFailure> {
     // Read before the question goes out: what is doubted meanwhile stays in doubt.
-    let asked = node.jobs().board.last_doubt();
+    let asked = node.jobs().board.ownership_generation();
     let stored = read_job(&node.store, job, StoreCallCause::OwnershipChecked).await?;
     let owner = stored.as_ref().map_or("", |stored| stored.owner());
     let is_ours = owner == node.owner;
--- a/crates/entry/src/batch/room.rs
+++ b/crates/entry/src/batch/room.rs
@@ -12,7 +12,7 @@
 pub fn refusal(node: &EntryNode, route: &Route, due: Duration) -> Option<Duration> {
     let now = node.clock.mono();
     let desk = node.jobs();
-    let item = DueWork { due: now + due, work: desk.board.pace().expected_or_guessed(0) };
+    let item = DueWork { due: now + due, work: desk.board.run_time().expected_or_default(0) };
     refusal_of(node, &desk, route, item, now)
 }
 
@@ -25,7 +25,7 @@
 pub fn take(node: &EntryNode, route: &Route, spec: &Arc<JobSpec>) -> Result<(), Duration> {
     let now = node.clock.mono();
     let mut desk = node.jobs();
-    let job = DueWork { due: now + spec.terms.due, work: desk.board.work_of(spec) };
+    let job = DueWork { due: now + spec.terms.due, work: desk.board.estimated_work(spec) };
     if let Some(wait) = refusal_of(node, &desk, route, job, now) {
         return Err(wait);
     }
--- a/crates/entry/src/peers/demands.rs
+++ b/crates/entry/src/peers/demands.rs
@@ -68,7 +68,7 @@
         works: demand.merged(TOLD_PARTS).into_iter().map(|work| told_work(work, now)).collect(),
     };
     let demands = demands.iter().map(report).collect();
-    let pace = node.jobs().board.own_pace().figures();
+    let pace = node.jobs().board.own_run_time().figures();
     PeerMessage::Demand { demands, pace }
 }
 
@@ -82,7 +82,7 @@
     node: &EntryNode,
     peer: &VmName,
     demands: Vec<ServiceDemandReport>,
-    pace: PaceFigures,
+    pace: ItemRunTimeStats,
 ) {
     let now = node.clock.mono();
     let work = |told: DueWorkReport| DueWork {
@@ -104,6 +104,6 @@
         intake.note_places(service, *places, now);
     }
     intake.expire(|service| places.contains_key(service), now);
-    let pace = intake.pace(desk.board.own_pace().figures());
-    desk.board.set_shared_pace(pace);
+    let pace = intake.run_time(desk.board.own_run_time().figures());
+    desk.board.set_shared_run_time(pace);
 }
--- a/crates/entry/src/peers/hub.rs
+++ b/crates/entry/src/peers/hub.rs
@@ -334,7 +334,7 @@
             let mut desk = node.jobs();
             if desk.is_busy(job) {
                 // It is being taken over here: whichever of the two came first, the store tells.
-                desk.board.doubt_all();
+                desk.board.invalidate_all_ownership();
             }
             desk.note_owner(std::slice::from_ref(job), owner);
         }
--- a/crates/messages/src/peer.rs
+++ b/crates/messages/src/peer.rs
@@ -1,7 +1,7 @@
 //! Between gateways that relay straight to targets.
 
 use notch_relay::prelude::{
-    CreditAnswer, HeldProgress, PaceFigures, QueueOffer, ResultLine, ShareTable, TargetEntry,
+    CreditAnswer, HeldProgress, ItemRunTimeStats, QueueOffer, ResultLine, ShareTable, TargetEntry,
     UseChange, WorkKind,
 };
 use notch_types::prelude::*;
@@ -133,7 +133,7 @@
         /// By service.
         demands: Vec<ServiceDemandReport>,
         /// How long items take there.
-        pace: PaceFigures,
+        pace: ItemRunTimeStats,
     },
     /// The sender's configuration or targets are older: send what changed.
     AskState {
--- a/crates/relay/src/intake/table.rs
+++ b/crates/relay/src/intake/table.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     intake::{demand::WorkDemand, place_mean::PlaceMean},
-    jobs::pace::{ItemPace, PaceFigures},
+    jobs::pace::{ItemRunTime, ItemRunTimeStats},
 };
 
 /// What another gateway tells counts for this long; it is told anew at least twice as often.
@@ -21,7 +21,7 @@
     at: MonoTime,
     /// By service.
     demands: FastMap<String, WorkDemand>,
-    pace: PaceFigures,
+    pace: ItemRunTimeStats,
 }
 
 /// Work at the other gateways, and places that items find.
@@ -40,7 +40,7 @@
         &mut self,
         peer: &VmName,
         demands: FastMap<String, WorkDemand>,
-        pace: PaceFigures,
+        pace: ItemRunTimeStats,
         now: MonoTime,
     ) {
         self.peers.insert(peer.clone(), PeerDemand { at: now, demands, pace });
@@ -73,9 +73,9 @@
     }
 
     /// How long items take at all gateways, this one among them.
-    pub fn pace(&self, own: PaceFigures) -> ItemPace {
+    pub fn run_time(&self, own: ItemRunTimeStats) -> ItemRunTime {
         let told = self.peers.values().map(|peer| peer.pace);
-        ItemPace::mean_of(told.chain([own]))
+        ItemRunTime::mean_of(told.chain([own]))
     }
 
     /// Whether a refusal may be logged now; counts it as logged.
--- a/crates/relay/src/jobs/board.rs
+++ b/crates/relay/src/jobs/board.rs
@@ -7,9 +7,9 @@
 use crate::{
     intake::demand::DueWork,
     jobs::{
-        doubt::DoubtNumber,
+        doubt::OwnershipGeneration,
         owned::OwnedJob,
-        pace::ItemPace,
+        pace::ItemRunTime,
         result::ResultLine,
         spec::{ItemSpec, JobSpec},
     },
@@ -34,53 +34,53 @@
 
 /// The jobs that one gateway owns.
 #[derive(Debug, Default)]
-pub struct JobBoard {
+pub struct JobTable {
     jobs: FastMap<String, OwnedJob>,
     /// The last doubt of all.
-    last_doubt: DoubtNumber,
-    /// The last doubt that was about every job. Invariant: at most `last_doubt`.
-    doubted: DoubtNumber,
+    ownership_generation: OwnershipGeneration,
+    /// The last doubt that was about every job. Invariant: at most `ownership_generation`.
+    required_generation: OwnershipGeneration,
     /// How long items take here.
-    pace: ItemPace,
+    pace: ItemRunTime,
     /// How long items take at all gateways, as far as is known.
-    shared_pace: ItemPace,
+    shared_pace: ItemRunTime,
 }
 
-impl JobBoard {
+impl JobTable {
     /// Takes a job over; nothing changes when it is here already. A doubt about every job that came after
     /// its ownership was asked for is about it, too.
     pub fn add(&mut self, mut job: OwnedJob) {
-        job.doubt(self.doubted);
+        job.require_generation(self.required_generation);
         self.jobs.entry(job.spec().id.clone()).or_insert(job);
     }
 
     /// The last doubt: who asks the store now gets an answer that is good until the next one.
-    pub fn last_doubt(&self) -> DoubtNumber {
-        self.last_doubt
+    pub fn ownership_generation(&self) -> OwnershipGeneration {
+        self.ownership_generation
     }
 
     /// Any job may have been taken over by another gateway.
-    pub fn doubt_all(&mut self) {
-        self.last_doubt = self.last_doubt.next();
-        self.doubted = self.last_doubt;
+    pub fn invalidate_all_ownership(&mut self) {
+        self.ownership_generation = self.ownership_generation.next();
+        self.required_generation = self.ownership_generation;
         for job in self.jobs.values_mut() {
-            job.doubt(self.last_doubt);
+            job.require_generation(self.ownership_generation);
         }
     }
 
     /// This job may have been taken over by another gateway.
-    pub fn doubt(&mut self, id: &str) {
-        self.last_doubt = self.last_doubt.next();
+    pub fn invalidate_ownership(&mut self, id: &str) {
+        self.ownership_generation = self.ownership_generation.next();
         if let Some(job) = self.jobs.get_mut(id) {
-            job.doubt(self.last_doubt);
+            job.require_generation(self.ownership_generation);
         }
     }
 
     /// Another gateway wrote where the job's results were to stand; false when the job isn't here.
     pub fn displace(&mut self, id: &str, lines: Vec<Arc<ResultLine>>, now: MonoTime) -> bool {
         let Some(job) = self.jobs.get_mut(id) else { return false };
-        self.last_doubt = self.last_doubt.next();
-        job.displaced(lines, self.last_doubt, now);
+        self.ownership_generation = self.ownership_generation.next();
+        job.displaced(lines, self.ownership_generation, now);
         true
     }
 
@@ -126,7 +126,7 @@
     /// marked yet.
     pub fn next_item(&self, now: MonoTime) -> Option<(String, usize)> {
         let ready = self.jobs.values().filter_map(|job| Some((job, job.next_item(now)?)));
-        let pace = self.pace();
+        let pace = self.run_time();
         let rank = |job: &OwnedJob, index| (job.is_late(index, &pace, now), job.due());
         let (job, index) = ready.min_by_key(|(job, index)| rank(job, *index))?;
         Some((job.spec().id.clone(), index))
@@ -138,29 +138,29 @@
     }
 
     /// How long items take.
-    pub fn pace(&self) -> ItemPace {
+    pub fn run_time(&self) -> ItemRunTime {
         if self.shared_pace.is_known() { self.shared_pace } else { self.pace }
     }
 
     /// How long items take here, for the other gateways.
-    pub fn own_pace(&self) -> ItemPace {
+    pub fn own_run_time(&self) -> ItemRunTime {
         self.pace
     }
 
     /// How long items take at all gateways.
-    pub fn set_shared_pace(&mut self, pace: ItemPace) {
+    pub fn set_shared_run_time(&mut self, pace: ItemRunTime) {
         self.shared_pace = pace;
     }
 
     /// How long the items of a job that comes would take one place.
-    pub fn work_of(&self, spec: &JobSpec) -> Duration {
-        let pace = self.pace();
-        spec.items.iter().map(|item| pace.expected_or_guessed(item.answer.expected())).sum()
+    pub fn estimated_work(&self, spec: &JobSpec) -> Duration {
+        let pace = self.run_time();
+        spec.items.iter().map(|item| pace.expected_or_default(item.answer.expected())).sum()
     }
 
     /// What waits to be done in time, job by job, with each job's route.
     pub fn works(&self, now: MonoTime) -> Vec<(&str, DueWork)> {
-        let pace = self.pace();
+        let pace = self.run_time();
         let open = self.jobs.values().filter(|job| !job.is_closed());
         let works = open.map(|job| {
             let work = DueWork { due: job.due(), work: job.timely_work(&pace, now) };
--- a/crates/relay/src/jobs/doubt.rs
+++ b/crates/relay/src/jobs/doubt.rs
@@ -3,9 +3,9 @@
 /// Numbers the moments from which on a job may have been another gateway's. A confirmation carries the
 /// number it was asked under; no clocks of two VMs are compared.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct DoubtNumber(u64);
+pub struct OwnershipGeneration(u64);
 
-impl DoubtNumber {
+impl OwnershipGeneration {
     /// The number of the next doubt.
     #[must_use]
     pub fn next(self) -> Self {
--- a/crates/relay/src/jobs/owned.rs
+++ b/crates/relay/src/jobs/owned.rs
@@ -6,8 +6,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::jobs::{
-    doubt::DoubtNumber,
-    pace::ItemPace,
+    doubt::OwnershipGeneration,
+    pace::ItemRunTime,
     result::{ItemState, ResultLine},
     spec::{ItemSpec, JobSpec},
 };
@@ -54,7 +54,7 @@
     /// The target ran it and reports a failure.
     Failed,
     /// The target broke it off; the progress made is kept.
-    Broken,
+    Interrupted,
     /// The target had no place for it, or wasn't there.
     NotRun,
     /// We broke it off to give its place to online work; the progress made is kept.
@@ -107,9 +107,9 @@
     /// When the oldest pending result came.
     pending_since: MonoTime,
     /// The last doubt whether another gateway owns the job.
-    doubted: DoubtNumber,
+    required: OwnershipGeneration,
     /// The number under which the latest confirmation that this gateway owns it was asked for.
-    confirmed: DoubtNumber,
+    confirmed: OwnershipGeneration,
     /// Another gateway wrote where this one wanted to, and no question asked since then was answered.
     /// Invariant: nothing is stored meanwhile. A former owner that went on after the fence it had found
     /// would extend a list that the new owner takes for its own.
@@ -137,8 +137,8 @@
             storing: 0,
             storing_since: now.mono,
             pending_since: now.mono,
-            doubted: DoubtNumber::default(),
-            confirmed: DoubtNumber::default(),
+            required: OwnershipGeneration::default(),
+            confirmed: OwnershipGeneration::default(),
             is_displaced: false,
             ended: false,
             spec,
@@ -202,7 +202,7 @@
 
     /// Whether a run of an item that begins at `now` would likely end after the job is due. One
     /// whose lifetime is nearly over doesn't count as late: it would be given up.
-    pub fn is_late(&self, index: usize, pace: &ItemPace, now: MonoTime) -> bool {
+    pub fn is_late(&self, index: usize, pace: &ItemRunTime, now: MonoTime) -> bool {
         let item_time = pace.expected(self.spec.items[index].answer.expected());
         let has_progress = self.items[index].last_event.is_some();
         let needed = if has_progress { item_time / REST_DIVISOR } else { item_time };
@@ -211,7 +211,7 @@
 
     /// How long its items that can still be in time would take one place. One that runs counts as the rest of
     /// an item; those that would end late give way to others.
-    pub fn timely_work(&self, pace: &ItemPace, now: MonoTime) -> Duration {
+    pub fn timely_work(&self, pace: &ItemRunTime, now: MonoTime) -> Duration {
         if self.ended || self.due <= now {
             return Duration::ZERO;
         }
@@ -222,7 +222,7 @@
             ItemPhase::Ended => false,
         });
         let needed = timely.map(|(index, item)| {
-            let whole = pace.expected_or_guessed(self.spec.items[index].answer.expected());
+            let whole = pace.expected_or_default(self.spec.items[index].answer.expected());
             let is_begun = item.phase == ItemPhase::Running || item.last_event.is_some();
             if is_begun { whole / REST_DIVISOR } else { whole }
         });
@@ -296,7 +296,7 @@
                     item.phase = ItemPhase::Waiting(now + RETRY_PAUSE);
                 }
             }
-            ItemEnd::Broken => {
+            ItemEnd::Interrupted => {
                 let doublings = item.breaks.min(BREAK_DOUBLINGS);
                 item.breaks += 1;
                 item.phase = ItemPhase::Waiting(now + RETRY_PAUSE * 2_u32.pow(doublings));
@@ -361,10 +361,15 @@
     /// Another gateway stored `lines`, or a fence where there are none, at the position that the results
     /// taken last were for. Items listed there are dropped here: the first stored result of an item is
     /// the one that counts. `doubt` is the number of the doubt that this is.
-    pub fn displaced(&mut self, lines: Vec<Arc<ResultLine>>, doubt: DoubtNumber, now: MonoTime) {
+    pub fn displaced(
+        &mut self,
+        lines: Vec<Arc<ResultLine>>,
+        generation: OwnershipGeneration,
+        now: MonoTime,
+    ) {
         self.storing = 0;
         self.is_displaced = true;
-        self.doubt(doubt);
+        self.require_generation(generation);
         self.pending_since = now;
         self.fences = if lines.is_empty() { self.fences + 1 } else { 0 };
         for line in &lines {
@@ -378,14 +383,14 @@
     }
 
     /// From now on another gateway may own the job.
-    pub fn doubt(&mut self, doubt: DoubtNumber) {
-        self.doubted = self.doubted.max(doubt);
+    pub fn require_generation(&mut self, generation: OwnershipGeneration) {
+        self.required = self.required.max(generation);
     }
 
     /// The store says that this gateway owns the job, asked while `asked` was the last doubt. An answer
     /// may be late: one to a question older than the doubt ends no doubt.
-    pub fn confirm(&mut self, asked: DoubtNumber) {
-        self.confirmed = self.confirmed.max(asked);
+    pub fn confirm(&mut self, requested: OwnershipGeneration) {
+        self.confirmed = self.confirmed.max(requested);
         if self.is_confirmed() {
             self.is_displaced = false;
         }
@@ -393,7 +398,7 @@
 
     /// Whether ownership was confirmed by a question asked after the last doubt.
     pub fn is_confirmed(&self) -> bool {
-        self.confirmed >= self.doubted
+        self.confirmed >= self.required
     }
 
     /// Whether an item ended, here or by another gateway's result.
--- a/crates/relay/src/jobs/pace.rs
+++ b/crates/relay/src/jobs/pace.rs
@@ -15,7 +15,7 @@
 
 /// What is learned of items' runs, as one gateway tells another.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PaceFigures {
+pub struct ItemRunTimeStats {
     /// Microseconds for an item; 0 when not known.
     pub item_us: u64,
     /// Nanoseconds for each token of an answer; 0 when not known.
@@ -31,7 +31,7 @@
 
 /// How long a whole run of an item takes, learned from those that have ended.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct ItemPace {
+pub struct ItemRunTime {
     /// Seconds for an item, whatever its size.
     item_seconds: LearnedMean,
     /// Seconds for each token of an answer, of items that told their tokens.
@@ -40,7 +40,7 @@
     runs: u32,
 }
 
-impl ItemPace {
+impl ItemRunTime {
     /// An item ran from its beginning to its end within `took`; its answer was expected to have
     /// `tokens`, 0 if it didn't say.
     pub fn note(&mut self, took: Duration, tokens: u32) {
@@ -54,7 +54,7 @@
 
     /// What several gateways learned together: each gateway runs few items, and some end long before the others
     /// do, so what one has learned of a few is far off.
-    pub fn mean_of(all: impl Iterator<Item = PaceFigures>) -> Self {
+    pub fn mean_of(all: impl Iterator<Item = ItemRunTimeStats>) -> Self {
         let (mut item_us, mut token_ns, mut runs, mut sized_runs) = (0.0, 0.0, 0, 0);
         for figures in all {
             item_us += figures.item_us as f64 * f64::from(figures.runs);
@@ -71,8 +71,8 @@
     }
 
     /// What is learned, for another gateway.
-    pub fn figures(&self) -> PaceFigures {
-        PaceFigures {
+    pub fn figures(&self) -> ItemRunTimeStats {
+        ItemRunTimeStats {
             item_us: (self.item_seconds.value() * SECOND_US) as u64,
             token_ns: (self.token_seconds.value() * SECOND_NS) as u64,
             runs: self.runs,
@@ -86,7 +86,7 @@
 
     /// How long an item takes as far as a job that comes is concerned: as long as nothing is known, a guess that
     /// is rather too short.
-    pub fn expected_or_guessed(&self, tokens: u32) -> Duration {
+    pub fn expected_or_default(&self, tokens: u32) -> Duration {
         if self.is_known() { self.expected(tokens) } else { FIRST_ITEM }
     }
 
--- a/crates/relay/src/jobs/result.rs
+++ b/crates/relay/src/jobs/result.rs
@@ -29,7 +29,7 @@
 
 impl ResultLine {
     /// Bytes that it takes where it is stored or sent, about and at most.
-    pub fn weight(&self) -> usize {
+    pub fn approx_bytes(&self) -> usize {
         self.id.len() + self.output.len() + LINE_FRAME_BYTES
     }
 
@@ -38,7 +38,7 @@
     pub fn fitting(lines: &[Arc<Self>], bytes: usize) -> &[Arc<Self>] {
         let mut size = 0;
         let fits = lines.iter().take_while(|line| {
-            size += line.weight();
+            size += line.approx_bytes();
             size <= bytes
         });
         let count = fits.count().max(1).min(lines.len());
--- a/crates/relay/src/jobs/spec.rs
+++ b/crates/relay/src/jobs/spec.rs
@@ -92,7 +92,7 @@
     }
 
     /// Bytes that the job holds in memory, about.
-    pub fn weight(&self) -> usize {
+    pub fn approx_bytes(&self) -> usize {
         self.items.iter().map(|item| item.body.len() + item.path.len() + 512).sum()
     }
 }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -32,10 +32,10 @@
             table::IntakeTable,
         },
         jobs::{
-            board::{ItemStart, JobBoard},
-            doubt::DoubtNumber,
+            board::{ItemStart, JobTable},
+            doubt::OwnershipGeneration,
             owned::{HeldProgress, ItemEnd, OwnedJob},
-            pace::{ItemPace, PaceFigures},
+            pace::{ItemRunTime, ItemRunTimeStats},
             result::{ItemState, ResultLine},
             spec::{AnswerSize, ItemSpec, JobSpec, JobTerms, limit_name},
         },
--- a/crates/relay/tests/intake.rs
+++ b/crates/relay/tests/intake.rs
@@ -244,24 +244,24 @@
     let mut table = IntakeTable::default();
     let peer = VmName::new("g-2");
     let demands = || [("s1".to_owned(), WorkDemand::new(vec![due(10, 5)]))].into_iter().collect();
-    let pace = PaceFigures { item_us: 5_000_000, token_ns: 3_000, runs: 4 };
+    let pace = ItemRunTimeStats { item_us: 5_000_000, token_ns: 3_000, runs: 4 };
     table.take_demand(&peer, demands(), pace, at(1));
     assert_eq!(WorkDemand::joined(table.demands("s1")).total(), Duration::from_secs(5));
-    assert_eq!(table.pace(PaceFigures::default()).figures(), pace);
+    assert_eq!(table.run_time(ItemRunTimeStats::default()).figures(), pace);
     table.expire(|_| true, at(4));
     assert_eq!(table.demands("s1").count(), 0);
-    assert!(!table.pace(PaceFigures::default()).is_known());
+    assert!(!table.run_time(ItemRunTimeStats::default()).is_known());
 }
 
 // The load: a burst at the start of a day. Of items that ended so soon most were short; a gateway that knows one of
 // them only would take ten times the jobs in that can be done.
 #[test]
 fn what_a_few_runs_tell_counts_little() {
-    let few = PaceFigures { item_us: 500_000, token_ns: 300, runs: 1 };
-    let many = PaceFigures { item_us: 5_000_000, token_ns: 3_000, runs: 9 };
-    let mean = ItemPace::mean_of([few, many].into_iter()).figures();
+    let few = ItemRunTimeStats { item_us: 500_000, token_ns: 300, runs: 1 };
+    let many = ItemRunTimeStats { item_us: 5_000_000, token_ns: 3_000, runs: 9 };
+    let mean = ItemRunTime::mean_of([few, many].into_iter()).figures();
     assert_eq!((mean.item_us, mean.token_ns, mean.runs), (4_550_000, 2_730, 10));
-    let unsized_runs = PaceFigures { item_us: 5_000_000, token_ns: 0, runs: 9 };
-    let mean = ItemPace::mean_of([few, unsized_runs].into_iter()).figures();
+    let unsized_runs = ItemRunTimeStats { item_us: 5_000_000, token_ns: 0, runs: 9 };
+    let mean = ItemRunTime::mean_of([few, unsized_runs].into_iter()).figures();
     assert_eq!(mean.token_ns, 300, "items that told no tokens say nothing of them");
 }
--- a/crates/relay/tests/jobs.rs
+++ b/crates/relay/tests/jobs.rs
@@ -99,7 +99,7 @@
     let mut job = job(2);
     complete(&mut job, 0, at(0));
     job.take_pending(DELAY, BYTES, at(1_000)).expect("it waited long enough");
-    job.displaced(vec![line("i0")], DoubtNumber::default().next(), at(1_010));
+    job.displaced(vec![line("i0")], OwnershipGeneration::default().next(), at(1_010));
     assert_eq!(job.results(), [line("i0")]);
     assert_eq!(job.take_pending(DELAY, BYTES, at(9_000)), None, "nothing of it is left");
     assert_eq!(job.next_item(at(9_000)), Some(1));
@@ -113,7 +113,7 @@
     let mut job = job(2);
     complete(&mut job, 0, at(0));
     let first = job.take_pending(DELAY, BYTES, at(1_000)).expect("it waited long enough");
-    let before = DoubtNumber::default();
+    let before = OwnershipGeneration::default();
     let doubt = before.next();
     job.displaced(Vec::new(), doubt, at(1_010));
     assert_eq!(job.take_pending(DELAY, BYTES, at(60_000)), None, "it may be another's job by now");
@@ -133,20 +133,20 @@
 /// all, and also where the job isn't on the board yet.
 #[test]
 fn only_what_is_asked_after_a_doubt_confirms() {
-    let mut board = JobBoard::default();
-    let asked_early = board.last_doubt();
-    board.doubt_all();
+    let mut board = JobTable::default();
+    let asked_early = board.ownership_generation();
+    board.invalidate_all_ownership();
     let mut owned = job(1);
     owned.confirm(asked_early);
     board.add(owned);
-    let is_confirmed = |board: &JobBoard| board.get("j").expect("it was added").is_confirmed();
+    let is_confirmed = |board: &JobTable| board.get("j").expect("it was added").is_confirmed();
     assert!(!is_confirmed(&board), "it was taken while the links were down");
-    let asked = board.last_doubt();
+    let asked = board.ownership_generation();
     board.get_mut("j").expect("it was added").confirm(asked);
     assert!(is_confirmed(&board));
-    board.doubt("another job");
+    board.invalidate_ownership("another job");
     assert!(is_confirmed(&board));
-    board.doubt("j");
+    board.invalidate_ownership("j");
     board.get_mut("j").expect("it was added").confirm(asked);
     assert!(!is_confirmed(&board));
 }
@@ -184,7 +184,7 @@
     let mut waits = Vec::new();
     for _ in 0..5 {
         job.start_item(0);
-        job.end_item(0, &ItemEnd::Broken, at(now));
+        job.end_item(0, &ItemEnd::Interrupted, at(now));
         let began = now;
         while job.next_item(at(now)).is_none() {
             now += 10;
@@ -231,10 +231,10 @@
 /// due times alone, so each one started when it was just too late for it.
 #[test]
 fn items_that_would_be_late_let_others_pass() {
-    let mut board = JobBoard::default();
+    let mut board = JobTable::default();
     board.add(named_job("early", 0));
     board.add(named_job("later", 6_000));
-    let first = |board: &JobBoard, now| board.next_item(at(now)).map(|(job, _)| job);
+    let first = |board: &JobTable, now| board.next_item(at(now)).map(|(job, _)| job);
     assert_eq!(first(&board, 17_000).as_deref(), Some("early"), "no item's time is known");
     let item = spec("any", 0, 1).items.remove(0);
     board.note_whole_run(&item, Duration::from_secs(4));
@@ -252,7 +252,7 @@
     job.start_item(0);
     job.add_progress(0, 2, b"a\nb");
     job.end_item(0, &ItemEnd::Preempted, at(14_000));
-    let mut pace = ItemPace::default();
+    let mut pace = ItemRunTime::default();
     pace.note(Duration::from_secs(4), 0);
     assert!(!job.is_late(0, &pace, at(15_000)));
     assert!(job.is_late(1, &pace, at(15_000)));
@@ -263,7 +263,7 @@
 /// the usual one.
 #[test]
 fn an_items_time_follows_its_tokens() {
-    let mut pace = ItemPace::default();
+    let mut pace = ItemRunTime::default();
     assert_eq!(pace.expected(1_000), Duration::ZERO, "nothing is known yet");
     pace.note(Duration::from_secs(4), 0);
     assert_eq!(pace.expected(1_000), Duration::from_secs(4));
@@ -276,7 +276,7 @@
 #[test]
 fn results_fit_by_their_bytes() {
     let lines = [line("i0"), line("i1"), line("i2")];
-    let two = lines[0].weight() + lines[1].weight();
+    let two = lines[0].approx_bytes() + lines[1].approx_bytes();
     assert_eq!(ResultLine::fitting(&lines, two), &lines[..2]);
     assert_eq!(ResultLine::fitting(&lines, two - 1), &lines[..1]);
     assert_eq!(ResultLine::fitting(&lines, 0), &lines[..1], "a reader must get on");
