--- a/crates/entry/src/batch/room.rs
+++ b/crates/entry/src/batch/room.rs
@@ -47,9 +47,9 @@
         let own = own_demand(node, &works, service);
         let mut intake = node.intake();
         let demand = WorkDemand::joined(intake.demands(service).chain([&own]));
-        let places = intake.places(service) * own_part(node, now);
+        let places = intake.mean_free_slots(service) * own_part(node, now);
         let job = DueWork { work: job.work.mul_f64(part), ..job };
-        let wait = IntakeForecast { demand: &demand, places }.refusal(job, now)?;
+        let wait = JobAdmissionForecast { demand: &demand, places }.refusal(job, now)?;
         // A line for each would be thousands a second.
         if intake.may_log(now) {
             node.log.info(
@@ -62,7 +62,7 @@
                     ("places", &format_args!("{places:.1}")),
                     ("waiting_here_ms", &own.total().as_millis()),
                     ("waiting_ms", &demand.total().as_millis()),
-                    ("oldest_word_ms", &intake.oldest(now).as_millis()),
+                    ("oldest_word_ms", &intake.oldest_report_age(now).as_millis()),
                     ("wait_ms", &wait.as_millis()),
                 ],
             );
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -88,7 +88,7 @@
     crashes: Mutex<CrashTable>,
     patience: Mutex<RetryDetector>,
     dropped_routes: Mutex<DroppedRoutes>,
-    intake: Mutex<IntakeTable>,
+    intake: Mutex<JobAdmissionTable>,
 }
 
 impl EntryNode {
@@ -171,7 +171,7 @@
     }
 
     /// What is known of work and places when a job comes.
-    pub fn intake(&self) -> MutexGuard<'_, IntakeTable> {
+    pub fn intake(&self) -> MutexGuard<'_, JobAdmissionTable> {
         self.intake.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/crates/entry/src/peers/demands.rs
+++ b/crates/entry/src/peers/demands.rs
@@ -101,7 +101,7 @@
     let mut desk = node.jobs();
     let mut intake = node.intake();
     for (service, places) in &places {
-        intake.note_places(service, *places, now);
+        intake.record_slots(service, *places, now);
     }
     intake.expire(|service| places.contains_key(service), now);
     let pace = intake.run_time(desk.board.own_run_time().figures());
--- a/crates/relay/src/intake/forecast.rs
+++ b/crates/relay/src/intake/forecast.rs
@@ -23,14 +23,14 @@
 
 /// What is known when a job comes.
 #[derive(Debug, Clone, Copy)]
-pub struct IntakeForecast<'a> {
+pub struct JobAdmissionForecast<'a> {
     /// What waits before it, at all gateways.
     pub demand: &'a WorkDemand,
     /// Places that items find, in the mean; of those, what this gateway may fill.
     pub places: f64,
 }
 
-impl IntakeForecast<'_> {
+impl JobAdmissionForecast<'_> {
     /// When the job should come back, if it can't be done in time beside what was accepted before; `None`
     /// when it may be.
     ///
--- a/crates/relay/src/intake/table.rs
+++ b/crates/relay/src/intake/table.rs
@@ -26,7 +26,7 @@
 
 /// Work at the other gateways, and places that items find.
 #[derive(Debug, Default)]
-pub struct IntakeTable {
+pub struct JobAdmissionTable {
     peers: FastMap<VmName, PeerDemand>,
     /// By service.
     places: FastMap<String, PlaceMean>,
@@ -34,7 +34,7 @@
     logged_at: Option<MonoTime>,
 }
 
-impl IntakeTable {
+impl JobAdmissionTable {
     /// Another gateway tells what waits there, whole, and how long items take.
     pub fn take_demand(
         &mut self,
@@ -47,7 +47,7 @@
     }
 
     /// So many places of a service are left to items now.
-    pub fn note_places(&mut self, service: &str, places: u32, now: MonoTime) {
+    pub fn record_slots(&mut self, service: &str, places: u32, now: MonoTime) {
         match self.places.get_mut(service) {
             Some(mean) => mean.note(places, now),
             None => {
@@ -68,7 +68,7 @@
     }
 
     /// Places of a service that items find, in the mean; 0 when nothing is known.
-    pub fn places(&self, service: &str) -> f64 {
+    pub fn mean_free_slots(&self, service: &str) -> f64 {
         self.places.get(service).map_or(0.0, PlaceMean::value)
     }
 
@@ -88,7 +88,7 @@
     }
 
     /// Age of the oldest word that counts.
-    pub fn oldest(&self, now: MonoTime) -> Duration {
+    pub fn oldest_report_age(&self, now: MonoTime) -> Duration {
         self.peers.values().map(|peer| now.since(peer.at)).max().unwrap_or_default()
     }
 }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -28,8 +28,8 @@
         },
         intake::{
             demand::{DueWork, WorkDemand},
-            forecast::IntakeForecast,
-            table::IntakeTable,
+            forecast::JobAdmissionForecast,
+            table::JobAdmissionTable,
         },
         jobs::{
             board::{ItemStart, JobTable},
--- a/crates/relay/tests/intake.rs
+++ b/crates/relay/tests/intake.rs
@@ -50,7 +50,7 @@
         works.extend(others.flat_map(|(_, works)| works.iter().copied()));
         let job = DueWork { due: self.now + DUE, work: JOB_WORK };
         let demand = WorkDemand::new(works);
-        let forecast = IntakeForecast { demand: &demand, places: f64::from(PLACES) };
+        let forecast = JobAdmissionForecast { demand: &demand, places: f64::from(PLACES) };
         match forecast.refusal(job, self.now) {
             None => {
                 self.gateways[gateway].push(job);
@@ -179,7 +179,7 @@
     #[case] is_refused: bool,
 ) {
     let demand = WorkDemand::new(waiting.to_vec());
-    let forecast = IntakeForecast { demand: &demand, places };
+    let forecast = JobAdmissionForecast { demand: &demand, places };
     assert_eq!(forecast.refusal(job, at(0)).is_some(), is_refused);
 }
 
@@ -205,7 +205,7 @@
             ahead <= work.due.since(at(0)) * places
         });
         let demand = WorkDemand::new(waiting);
-        let forecast = IntakeForecast { demand: &demand, places: f64::from(places) };
+        let forecast = JobAdmissionForecast { demand: &demand, places: f64::from(places) };
         let refusal = forecast.refusal(job, at(0));
         prop_assert!(!(fits && refusal.is_some()));
     }
@@ -221,27 +221,27 @@
         let merged = WorkDemand::new(demand.merged(most));
         prop_assert!(merged.works().len() <= most);
         prop_assert_eq!(merged.total(), demand.total());
-        let refused = |demand| IntakeForecast { demand, places: 10.0 }.refusal(job, at(0)).is_some();
+        let refused = |demand| JobAdmissionForecast { demand, places: 10.0 }.refusal(job, at(0)).is_some();
         prop_assert!(refused(&demand) || !refused(&merged));
     }
 }
 
 #[test]
 fn places_are_a_mean_over_several_crests() {
-    let mut table = IntakeTable::default();
+    let mut table = JobAdmissionTable::default();
     // Crests of two seconds in which no place is left, each six seconds.
     for tick in 0..600_u64 {
         let places = if tick % 60 < 20 { 0 } else { 90 };
-        table.note_places("s1", places, MonoTime::from_millis(tick * 100));
+        table.record_slots("s1", places, MonoTime::from_millis(tick * 100));
     }
-    let places = table.places("s1");
+    let places = table.mean_free_slots("s1");
     assert!((45.0..=75.0).contains(&places), "{places}");
-    assert_eq!(table.places("s2"), 0.0, "nothing is known");
+    assert_eq!(table.mean_free_slots("s2"), 0.0, "nothing is known");
 }
 
 #[test]
 fn a_gateway_that_is_not_heard_counts_no_longer() {
-    let mut table = IntakeTable::default();
+    let mut table = JobAdmissionTable::default();
     let peer = VmName::new("g-2");
     let demands = || [("s1".to_owned(), WorkDemand::new(vec![due(10, 5)]))].into_iter().collect();
     let pace = ItemRunTimeStats { item_us: 5_000_000, token_ns: 3_000, runs: 4 };
