--- a/crates/entry/src/batch/limit_asks.rs
+++ b/crates/entry/src/batch/limit_asks.rs
@@ -59,7 +59,7 @@
     let Some(used) = used else { return };
     let free = limit.tokens.saturating_sub(used);
     let ended_per_second = asked.per_second;
-    let count = RoomCount { asked_at, limit: limit.tokens, free, ended_per_second };
+    let count = LimitCount { asked_at, limit: limit.tokens, free, ended_per_second };
     node.limits.note_count(&limit.name, count);
 }
 
@@ -70,7 +70,9 @@
     let mut per_second = node.limits.ended_per_second(route, node.clock.mono());
     for answer in answers.into_iter().flatten() {
         per_second += answer.ended_per_second as f64;
-        with_holder(node, route, |holder, _| holder.ceded(&answer.holder, answer.kept, revision));
+        with_holder(node, route, |holder, _| {
+            holder.note_released(&answer.holder, answer.kept, revision)
+        });
     }
     AskedShares { revision, per_second }
 }
@@ -105,7 +107,7 @@
         let owns = jobs.iter().any(|job| !job.status.closed && job.owner() == gone);
         if !owns {
             node.log.info("share_lapsed", &[("route", &route), ("holder", &gone)]);
-            with_holder(node, route, |holder, _| holder.ceded(&gone, 0, revision));
+            with_holder(node, route, |holder, _| holder.note_released(&gone, 0, revision));
         }
     }
 }
--- a/crates/entry/src/batch/limit_desk.rs
+++ b/crates/entry/src/batch/limit_desk.rs
@@ -12,7 +12,7 @@
 pub struct LimitDesk {
     holders: Mutex<FastMap<String, ShareHolder>>,
     drains: Mutex<FastMap<String, DrainRate>>,
-    counts: Mutex<FastMap<String, CountPace>>,
+    counts: Mutex<FastMap<String, LimitCountThrottle>>,
     /// Told when room under a limit was used up by a job.
     pub used: Event,
     /// One share is changed at a time: each change begins with what the one before wrote.
@@ -40,12 +40,12 @@
     }
 
     /// They were asked.
-    pub fn note_count(&self, route: &str, count: RoomCount) {
+    pub fn note_count(&self, route: &str, count: LimitCount) {
         self.counts().entry(route.to_owned()).or_default().note_count(count);
     }
 
     /// The last count of each limit, by its route's name.
-    pub fn counts(&self) -> MutexGuard<'_, FastMap<String, CountPace>> {
+    pub fn counts(&self) -> MutexGuard<'_, FastMap<String, LimitCountThrottle>> {
         self.counts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/crates/entry/src/batch/limits.rs
+++ b/crates/entry/src/batch/limits.rs
@@ -13,7 +13,7 @@
     prelude::StoreObject,
     store::{decode, list_path, object_path, spec_body},
 };
-use notch_relay::{limits::drain::wait_for, prelude::*};
+use notch_relay::{limits::drain::retry_delay, prelude::*};
 use notch_types::prelude::*;
 
 use crate::{
@@ -86,20 +86,20 @@
     let mut asked: Option<AskedShares> = None;
     for _ in 0..LIMIT_ROUNDS {
         match take_held(node, limit, job, tokens) {
-            ShareRoom::Held => return LimitOutcome::Reserved,
-            ShareRoom::Free => match write_in_turn(node, limit, job, tokens).await {
+            ShareAvailability::Held => return LimitOutcome::Reserved,
+            ShareAvailability::Free => match write_in_turn(node, limit, job, tokens).await {
                 ShareWrite::Done => return LimitOutcome::Reserved,
                 ShareWrite::Changed => {}
                 ShareWrite::Unknown => return LimitOutcome::Unknown,
             },
-            ShareRoom::Missing(missing) => {
+            ShareAvailability::Missing(missing) => {
                 if let Some(wait) = refusal(node, limit, tokens, arrived) {
                     return LimitOutcome::Full { wait };
                 }
                 // What was given back counts only for the table that it was asked for.
                 let revision = with_holder(node, &limit.name, |holder, _| holder.revision());
                 if let Some(asked) = asked.as_ref().filter(|asked| asked.revision == revision) {
-                    return LimitOutcome::Full { wait: wait_for(missing, asked.per_second) };
+                    return LimitOutcome::Full { wait: retry_delay(missing, asked.per_second) };
                 }
                 let is_refused = || refusal(node, limit, tokens, arrived).is_some();
                 match ask_in_turn(node, limit, is_refused).await {
@@ -125,12 +125,12 @@
 }
 
 /// Counts the job if it's within what is held here; whether it is, and what is missing.
-fn take_held(node: &EntryNode, limit: &WaitingLimit, job: &str, tokens: u64) -> ShareRoom {
+fn take_held(node: &EntryNode, limit: &WaitingLimit, job: &str, tokens: u64) -> ShareAvailability {
     let is_in_touch = node.peers.hears_all(node.clock.mono());
     with_holder(node, &limit.name, |holder, desk| {
         let used = desk.limit_tokens(&limit.name);
-        let room = holder.room(used, tokens, limit.tokens, is_in_touch);
-        if room == ShareRoom::Held {
+        let room = holder.availability(used, tokens, limit.tokens, is_in_touch);
+        if room == ShareAvailability::Held {
             desk.reserve(job, &limit.name, tokens);
         }
         room
@@ -183,13 +183,13 @@
 /// # Errors
 /// The store didn't answer: nothing may be taken over yet.
 pub async fn cover(node: &EntryNode, route: &str) -> Result<(), StoreFailure> {
-    change(node, route, |holder, desk| holder.cover(desk.limit_tokens(route))).await
+    change(node, route, |holder, desk| holder.propose_for_takeover(desk.limit_tokens(route))).await
 }
 
 /// Work was taken over from these gateways: they hold that much less. Undone it only counts twice,
 /// until their shares lapse.
 pub async fn release(node: &EntryNode, route: &str, taken: &[(String, u64)]) {
-    if change(node, route, |holder, _| holder.release(taken)).await.is_err() {
+    if change(node, route, |holder, _| holder.propose_after_takeover(taken)).await.is_err() {
         node.log.warn("share_not_released", &[("route", &route)]);
     }
 }
@@ -276,7 +276,7 @@
 /// Gives back what isn't used here. Also due when a job was lost to another gateway, which counts
 /// it from then on: its tokens are no room for others here.
 pub fn cede(node: &EntryNode, route: &str) -> u64 {
-    with_holder(node, route, |holder, desk| holder.cede(desk.limit_tokens(route)))
+    with_holder(node, route, |holder, desk| holder.release_unused(desk.limit_tokens(route)))
 }
 
 /// Another gateway has written shares.
--- a/crates/relay/src/intake/forecast.rs
+++ b/crates/relay/src/intake/forecast.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     intake::demand::{DueWork, WorkDemand},
-    limits::drain::wait_for,
+    limits::drain::retry_delay,
 };
 
 /// Times what the places are thought to do that may wait. What is known of places and of items' times is off
@@ -49,7 +49,7 @@
             missing = missing.max(ahead.saturating_sub(self.within(waiting.due, now)));
         }
         let missing = u64::try_from(missing.as_millis()).unwrap_or(u64::MAX);
-        (missing > 0).then(|| wait_for(missing, self.places * MILLIS_PER_SECOND))
+        (missing > 0).then(|| retry_delay(missing, self.places * MILLIS_PER_SECOND))
     }
 
     /// What may be done until `due`.
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -40,9 +40,9 @@
             spec::{AnswerSize, ItemSpec, JobSpec, JobTerms, limit_name},
         },
         limits::{
-            count::{CountPace, RoomCount},
+            count::{LimitCount, LimitCountThrottle},
             drain::DrainRate,
-            holder::{ShareHolder, ShareProposal, ShareRoom, ShareStep},
+            holder::{ShareAvailability, ShareHolder, ShareProposal, ShareStep},
             table::{HolderShare, ShareTable},
             waiting_limit::WaitingLimit,
         },
--- a/crates/relay/src/limits/count.rs
+++ b/crates/relay/src/limits/count.rs
@@ -14,7 +14,7 @@
 
 use notch_types::prelude::*;
 
-use crate::limits::drain::wait_for;
+use crate::limits::drain::retry_delay;
 
 /// Time between two counts in a burst, and the age up to which a count serves. With the look in the
 /// store that follows, 0.4 s at most, a refusal is younger than a second, and a job that fitted a second
@@ -27,7 +27,7 @@
 
 /// What was free of a limit when all gateways were asked.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RoomCount {
+pub struct LimitCount {
     /// When asking began.
     pub asked_at: MonoTime,
     /// The limit.
@@ -40,14 +40,14 @@
 
 /// The last count of one limit, and how many were made of late.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct CountPace {
-    last: Option<RoomCount>,
+pub struct LimitCountThrottle {
+    last: Option<LimitCount>,
     /// When the counts made so far are used up, at the pace of [`COUNT_EVERY`]. Invariant: at most
     /// [`COUNTS_AT_ONCE`] of them after the last one.
     used_until: MonoTime,
 }
 
-impl CountPace {
+impl LimitCountThrottle {
     /// All gateways are about to be asked.
     pub fn note_asked(&mut self, now: MonoTime) {
         let most = now + COUNT_EVERY * COUNTS_AT_ONCE;
@@ -55,7 +55,7 @@
     }
 
     /// They have been asked.
-    pub fn note_count(&mut self, count: RoomCount) {
+    pub fn note_count(&mut self, count: LimitCount) {
         self.last = Some(count);
     }
 
@@ -72,7 +72,7 @@
         let missing = amount.checked_sub(count.free).filter(|missing| *missing > 0)?;
         let is_fresh = now.since(count.asked_at) < COUNT_EVERY;
         let is_due = count.asked_at < arrived && self.may_count(now);
-        (is_fresh && !is_due).then(|| wait_for(missing, count.ended_per_second))
+        (is_fresh && !is_due).then(|| retry_delay(missing, count.ended_per_second))
     }
 
     fn may_count(&self, now: MonoTime) -> bool {
--- a/crates/relay/src/limits/drain.rs
+++ b/crates/relay/src/limits/drain.rs
@@ -35,7 +35,7 @@
 
 /// When `missing` will have ended at `per_second`: when a client that was refused for want of it
 /// should come back.
-pub fn wait_for(missing: u64, per_second: f64) -> Duration {
+pub fn retry_delay(missing: u64, per_second: f64) -> Duration {
     if per_second <= 0.0 {
         return WAIT_LONGEST;
     }
--- a/crates/relay/src/limits/holder.rs
+++ b/crates/relay/src/limits/holder.rs
@@ -44,7 +44,7 @@
 
 /// Whether a holder may use more, as far as it knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ShareRoom {
+pub enum ShareAvailability {
     /// It is within its share, also while a write is under way: use it.
     Held,
     /// Enough is free; it has to be lent by a write.
@@ -118,7 +118,13 @@
     /// client waits. What is held is used meanwhile; what the write is for stays set aside. `is_in_touch`
     /// tells whether all others are heard of: one out of touch may have lost its share unheard, so only
     /// what it has written counts.
-    pub fn room(&mut self, used: u64, amount: u64, limit: u64, is_in_touch: bool) -> ShareRoom {
+    pub fn availability(
+        &mut self,
+        used: u64,
+        amount: u64,
+        limit: u64,
+        is_in_touch: bool,
+    ) -> ShareAvailability {
         self.take_limit(limit, used);
         let needed = used.saturating_add(amount);
         let others = self.table.lent_to_others(&self.name);
@@ -128,10 +134,10 @@
         let is_left =
             self.proposed.is_none_or(|share| needed.saturating_add(self.pending) <= share);
         if is_in_touch && is_held && is_left {
-            return ShareRoom::Held;
+            return ShareAvailability::Held;
         }
         let all = others.saturating_add(needed);
-        if all > limit { ShareRoom::Missing(all - limit) } else { ShareRoom::Free }
+        if all > limit { ShareAvailability::Missing(all - limit) } else { ShareAvailability::Free }
     }
 
     /// What to do to use `amount` beside `used`, while no write is under way. `holders` is how many
@@ -144,10 +150,10 @@
         holders: u64,
         is_in_touch: bool,
     ) -> ShareStep {
-        match self.room(used, amount, limit, is_in_touch) {
-            ShareRoom::Held => return ShareStep::Granted,
-            ShareRoom::Missing(missing) => return ShareStep::Full { missing },
-            ShareRoom::Free => {}
+        match self.availability(used, amount, limit, is_in_touch) {
+            ShareAvailability::Held => return ShareStep::Granted,
+            ShareAvailability::Missing(missing) => return ShareStep::Full { missing },
+            ShareAvailability::Free => {}
         }
         let needed = used.saturating_add(amount);
         let all = self.table.lent_to_others(&self.name).saturating_add(needed);
@@ -174,13 +180,13 @@
 
     /// The write that must be done before work of other holders is taken over, which `used` counts
     /// already: it waits anyway, so it counts whatever the limit is.
-    pub fn cover(&mut self, used: u64) -> ShareProposal {
+    pub fn propose_for_takeover(&mut self, used: u64) -> ShareProposal {
         let lent = self.lent.max(used);
         self.propose(self.table.clone(), lent)
     }
 
     /// The write after work was taken over: its former holders hold that much less.
-    pub fn release(&mut self, taken: &[(String, u64)]) -> ShareProposal {
+    pub fn propose_after_takeover(&mut self, taken: &[(String, u64)]) -> ShareProposal {
         let mut table = self.table.clone();
         for (holder, amount) in taken.iter().filter(|(holder, _)| *holder != self.name) {
             let left = table.share(holder).lent.saturating_sub(*amount);
@@ -231,14 +237,14 @@
     }
 
     /// Gives back what isn't used; what may still be used here.
-    pub fn cede(&mut self, used: u64) -> u64 {
+    pub fn release_unused(&mut self, used: u64) -> u64 {
         let kept = used.max(self.proposed.unwrap_or(0));
         self.lent = self.lent.min(kept);
         kept
     }
 
     /// Another holder gave back all above `lent`, after `revision` of the table was known here.
-    pub fn ceded(&mut self, holder: &str, lent: u64, revision: Option<u64>) {
+    pub fn note_released(&mut self, holder: &str, lent: u64, revision: Option<u64>) {
         // A table of a later revision may hold a share that it took after that.
         if self.revision == revision {
             self.table.give_back(holder, lent);
--- a/crates/relay/tests/limit_counts.rs
+++ b/crates/relay/tests/limit_counts.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use notch_relay::{limits::drain::wait_for, prelude::*};
+use notch_relay::{limits::drain::retry_delay, prelude::*};
 use notch_types::prelude::*;
 use proptest::prelude::*;
 use rstest::rstest;
@@ -20,20 +20,20 @@
     #[case] per_second: f64,
     #[case] wait: Duration,
 ) {
-    assert_eq!(wait_for(missing, per_second), wait);
+    assert_eq!(retry_delay(missing, per_second), wait);
 }
 
 /// What is free when asked at `millis`: 100 of 1,000.
-fn counted_at(millis: u64) -> RoomCount {
+fn counted_at(millis: u64) -> LimitCount {
     let asked_at = MonoTime::from_millis(millis);
-    RoomCount { asked_at, limit: 1_000, free: 100, ended_per_second: 10.0 }
+    LimitCount { asked_at, limit: 1_000, free: 100, ended_per_second: 10.0 }
 }
 
 /// Symptom: in a burst gateways ask each other for every job. Sequence: a limit is used up; a job comes
 /// each millisecond. Cause: each was counted for.
 #[test]
 fn in_a_burst_a_count_serves_until_the_next_is_due() {
-    let mut pace = CountPace::default();
+    let mut pace = LimitCountThrottle::default();
     let mut counts = Vec::new();
     for millis in 10_000..20_000 {
         let now = MonoTime::from_millis(millis);
@@ -55,7 +55,7 @@
 #[test]
 fn jobs_that_come_together_share_a_count() {
     let at = MonoTime::from_millis;
-    let mut pace = CountPace::default();
+    let mut pace = LimitCountThrottle::default();
     assert_eq!(pace.refusal(101, 1_000, at(990), at(1_000)), None, "nothing is known");
     pace.note_asked(at(1_000));
     pace.note_count(counted_at(1_000));
@@ -71,7 +71,7 @@
 #[test]
 fn counts_that_fail_put_off_no_later_one() {
     let at = MonoTime::from_millis;
-    let mut pace = CountPace::default();
+    let mut pace = LimitCountThrottle::default();
     for _ in 0..1_000 {
         pace.note_asked(at(1_000));
         assert_eq!(pace.refusal(1_000, 1_000, at(1_000), at(1_000)), None);
@@ -88,26 +88,26 @@
         (0_usize..3, any::<bool>(), 1_u64..300, 0_u64..120), 1..200,
     )) {
         let mut fleet = Fleet::new(3, 1_000);
-        let mut paces = [CountPace::default(); 3];
+        let mut paces = [LimitCountThrottle::default(); 3];
         let mut totals = vec![(0, 0)];
         let mut millis = 1_000;
         for (at, is_job, amount, pause) in steps {
             millis += pause;
             let now = MonoTime::from_millis(millis);
             if is_job {
-                let room = fleet.holders[at].room(fleet.used[at], amount, fleet.limit, true);
+                let room = fleet.holders[at].availability(fleet.used[at], amount, fleet.limit, true);
                 let refusal = paces[at].refusal(amount, fleet.limit, now, now);
-                if matches!(room, ShareRoom::Missing(_)) && refusal.is_some() {
+                if matches!(room, ShareAvailability::Missing(_)) && refusal.is_some() {
                     let older = totals.iter().rposition(|(at, _)| *at + 500 <= millis);
                     let mut late = totals.iter().skip(older.unwrap_or(0));
                     prop_assert!(late.any(|(_, total)| total + amount > fleet.limit));
                     continue;
                 }
-                if matches!(room, ShareRoom::Missing(_)) {
+                if matches!(room, ShareAvailability::Missing(_)) {
                     paces[at].note_asked(now);
                     fleet.ask(at);
                     let used = fleet.holders[at].used_by_all(fleet.used[at]);
-                    paces[at].note_count(RoomCount {
+                    paces[at].note_count(LimitCount {
                         asked_at: now,
                         limit: fleet.limit,
                         free: fleet.limit.saturating_sub(used),
--- a/crates/relay/tests/limit_writes.rs
+++ b/crates/relay/tests/limit_writes.rs
@@ -19,15 +19,19 @@
         panic!("more than is held, and free");
     };
     assert_eq!(proposal.table.share("g-0#1").lent, 7_925);
-    assert_eq!(holder.room(1_000, 25, 8_000, true), ShareRoom::Held);
-    assert_eq!(holder.room(1_000, 26, 8_000, true), ShareRoom::Free, "the write is for another");
+    assert_eq!(holder.availability(1_000, 25, 8_000, true), ShareAvailability::Held);
     assert_eq!(
-        holder.room(1_000, 7_001, 8_000, true),
-        ShareRoom::Missing(1),
+        holder.availability(1_000, 26, 8_000, true),
+        ShareAvailability::Free,
+        "the write is for another"
+    );
+    assert_eq!(
+        holder.availability(1_000, 7_001, 8_000, true),
+        ShareAvailability::Missing(1),
         "whatever is written"
     );
     holder.not_written();
-    assert_eq!(holder.room(1_000, 400, 8_000, true), ShareRoom::Held);
+    assert_eq!(holder.availability(1_000, 400, 8_000, true), ShareAvailability::Held);
 }
 
 /// Symptom: jobs that fit are asked about twice. Sequence: others give back what they don't use while a
@@ -40,13 +44,13 @@
     holder.adopt(fleet.stored.table.clone(), fleet.stored.revision.unwrap_or(0));
     let proposal = holder.top_up(0, 1_000, 2).expect("there is none yet");
     fleet.used[1] = 100;
-    let kept = fleet.holders[1].cede(fleet.used[1]);
+    let kept = fleet.holders[1].release_unused(fleet.used[1]);
     let holder = &mut fleet.holders[0];
-    holder.ceded("g-1#1", kept, holder.revision());
+    holder.note_released("g-1#1", kept, holder.revision());
     assert!(fleet.stored.write(&proposal));
     holder.written(proposal, fleet.stored.revision.unwrap_or(0));
-    assert_eq!(holder.room(0, 900, 1_000, true), ShareRoom::Free);
-    assert_eq!(holder.room(0, 901, 1_000, true), ShareRoom::Missing(1));
+    assert_eq!(holder.availability(0, 900, 1_000, true), ShareAvailability::Free);
+    assert_eq!(holder.availability(0, 901, 1_000, true), ShareAvailability::Missing(1));
     assert_eq!(fleet.admit(0, 900, &[true; 2], true), Admission::Admitted);
     assert_eq!(fleet.admit(1, 1, &[true; 2], true), Admission::Refused);
 }
--- a/crates/relay/tests/limits.rs
+++ b/crates/relay/tests/limits.rs
@@ -82,12 +82,12 @@
     assert_eq!(fleet.admit(1, 100, &[true; 3], true), Admission::Admitted);
     let links = [false, true, true];
     fleet.used[1] += 9_500;
-    let proposal = fleet.holders[1].cover(fleet.used[1]);
+    let proposal = fleet.holders[1].propose_for_takeover(fleet.used[1]);
     assert!(fleet.stored.write(&proposal));
     fleet.holders[1].written(proposal, fleet.stored.revision.unwrap_or(0));
     assert_eq!(fleet.admit(2, 1, &links, true), Admission::Refused, "at both while it moves");
     fleet.used[0] = 0;
-    let proposal = fleet.holders[1].release(&[("g-0#1".to_owned(), 9_500)]);
+    let proposal = fleet.holders[1].propose_after_takeover(&[("g-0#1".to_owned(), 9_500)]);
     assert!(fleet.stored.write(&proposal));
     fleet.holders[1].written(proposal, fleet.stored.revision.unwrap_or(0));
     assert_eq!(fleet.admit(2, 500, &links, true), Admission::Refused);
@@ -108,7 +108,7 @@
     assert_eq!(holder.silent_holders(|_| true, patience, at(7_000)), Vec::<String>::new());
     assert_eq!(holder.silent_holders(|_| false, patience, at(8_000)), Vec::<String>::new());
     assert_eq!(holder.silent_holders(|_| false, patience, at(13_000)), ["g-0#1"]);
-    holder.ceded("g-0#1", 0, holder.revision());
+    holder.note_released("g-0#1", 0, holder.revision());
     assert_eq!(fleet.admit(1, 9_900, &[false, true], true), Admission::Admitted);
 }
 
@@ -122,12 +122,12 @@
     let holder = &mut fleet.holders[1];
     holder.adopt(fleet.stored.table.clone(), fleet.stored.revision.unwrap_or(0));
     let asked_at = holder.revision();
-    let kept = fleet.holders[0].cede(fleet.used[0]);
+    let kept = fleet.holders[0].release_unused(fleet.used[0]);
     assert_eq!(kept, 100);
     assert_eq!(fleet.admit(0, 800, &[true; 2], true), Admission::Admitted);
     let holder = &mut fleet.holders[1];
     holder.adopt(fleet.stored.table.clone(), fleet.stored.revision.unwrap_or(0));
-    holder.ceded("g-0#1", kept, asked_at);
+    holder.note_released("g-0#1", kept, asked_at);
     assert!(matches!(holder.step(0, 500, 1_000, 2, true), ShareStep::Full { .. }));
 }
 
@@ -172,7 +172,7 @@
                     let to = (at + 1) % 4;
                     let amount = amount.min(fleet.used[at]);
                     let used = fleet.used[to] + amount;
-                    let proposal = fleet.holders[to].cover(used);
+                    let proposal = fleet.holders[to].propose_for_takeover(used);
                     if !fleet.stored.write(&proposal) {
                         fleet.holders[to].not_written();
                         continue;
@@ -182,8 +182,8 @@
                     fleet.used[to] = used;
                     fleet.used[at] -= amount;
                     let left = fleet.used[at];
-                    fleet.holders[at].cede(left);
-                    let proposal = fleet.holders[to].release(&[(format!("g-{at}#1"), amount)]);
+                    fleet.holders[at].release_unused(left);
+                    let proposal = fleet.holders[to].propose_after_takeover(&[(format!("g-{at}#1"), amount)]);
                     if has_store && fleet.stored.write(&proposal) {
                         let revision = fleet.stored.revision.unwrap_or(0);
                         fleet.holders[to].written(proposal, revision);
--- a/crates/relay/tests/support/mod.rs
+++ b/crates/relay/tests/support/mod.rs
@@ -84,8 +84,8 @@
                     }
                     let revision = holder.revision();
                     for other in (0..self.holders.len()).filter(|n| *n != at && links[*n]) {
-                        let kept = self.holders[other].cede(self.used[other]);
-                        self.holders[at].ceded(&format!("g-{other}#1"), kept, revision);
+                        let kept = self.holders[other].release_unused(self.used[other]);
+                        self.holders[at].note_released(&format!("g-{other}#1"), kept, revision);
                     }
                 }
             }
@@ -106,8 +106,8 @@
 /// What is done apart while writes take long.
 impl Fleet {
     pub fn use_held(&mut self, at: usize, amount: u64, in_touch: bool) {
-        let room = self.holders[at].room(self.used[at], amount, self.limit, in_touch);
-        if room == ShareRoom::Held {
+        let room = self.holders[at].availability(self.used[at], amount, self.limit, in_touch);
+        if room == ShareAvailability::Held {
             self.used[at] += amount;
         }
     }
@@ -148,8 +148,8 @@
         self.refresh(at);
         let revision = self.holders[at].revision();
         for other in (0..self.holders.len()).filter(|n| *n != at) {
-            let kept = self.holders[other].cede(self.used[other]);
-            self.holders[at].ceded(&format!("g-{other}#1"), kept, revision);
+            let kept = self.holders[other].release_unused(self.used[other]);
+            self.holders[at].note_released(&format!("g-{other}#1"), kept, revision);
         }
     }
 }
