--- a/crates/entry/src/accounts/credit.rs
+++ b/crates/entry/src/accounts/credit.rs
@@ -102,7 +102,7 @@
 /// Brings the view of the limiters up to what is known of the other gateways.
 pub fn look(node: &EntryNode, now: MonoTime) {
     let own = &node.config.node.vm;
-    if !node.accounts.limiter().begin_look(now) {
+    if !node.accounts.limiter().begin_view_refresh(now) {
         return;
     }
     let taking_part = (!node.stop.is_stopping()).then_some(own);
--- a/crates/entry/src/accounts/freshness.rs
+++ b/crates/entry/src/accounts/freshness.rs
@@ -84,7 +84,7 @@
         return ProofAnswer::None;
     };
     let Some(age) = told.age.filter(|age| *age <= oldest) else { return ProofAnswer::None };
-    let Some(proof) = ConfigurationProof::told(told.version, age, asked) else {
+    let Some(proof) = ConfigurationProof::from_answer(told.version, age, asked) else {
         return ProofAnswer::None;
     };
     if node.note_proof(proof) {
--- a/crates/entry/src/batch/item_run.rs
+++ b/crates/entry/src/batch/item_run.rs
@@ -147,7 +147,7 @@
             take_events(&mut splitter, progress)?;
         }
     }
-    if splitter.has_rest() {
+    if splitter.has_partial_event() {
         return Err(AttemptFailure::CutAnswer);
     }
     node.give_back(&choice.id, connection, &head);
--- a/crates/entry/src/online/stream.rs
+++ b/crates/entry/src/online/stream.rs
@@ -41,7 +41,7 @@
                 return Ok(AttemptEnd::ClientGone);
             }
         }
-        if splitter.has_rest() {
+        if splitter.has_partial_event() {
             return Err(AttemptFailure::CutAnswer);
         }
         self.node.give_back(&choice.id, connection, &head);
--- a/crates/entry/src/peers/table/census.rs
+++ b/crates/entry/src/peers/table/census.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use notch_relay::prelude::PeerCensus;
+use notch_relay::prelude::PeerCounts;
 use notch_types::prelude::*;
 
 use super::{PeerRecord, PeerTable, Up};
@@ -12,9 +12,9 @@
 /// A gateway whose process runs this long is known to all others: they read the gateways' entries more often.
 const LIMITER_AGE: Duration = Duration::from_secs(3);
 
-fn census(peers: &FastMap<VmName, PeerRecord>) -> PeerCensus {
+fn census(peers: &FastMap<VmName, PeerRecord>) -> PeerCounts {
     let known = peers.values().filter(|record| !record.is_lost);
-    let mut census = PeerCensus::default();
+    let mut census = PeerCounts::default();
     for record in known {
         census.known += 1;
         census.heard += usize::from(record.link.is_some());
@@ -85,7 +85,7 @@
         own: Option<&VmName>,
         own_up: Duration,
         now: MonoTime,
-    ) -> (PeerCensus, Vec<VmName>) {
+    ) -> (PeerCounts, Vec<VmName>) {
         let peers = self.peers();
         let census = census(&peers);
         let takes_part = |r: &PeerRecord| r.link.is_some() && !r.is_leaving && !r.is_stopping;
--- a/crates/relay/src/accounts/freshness.rs
+++ b/crates/relay/src/accounts/freshness.rs
@@ -20,7 +20,7 @@
 impl ConfigurationProof {
     /// The proof in an answer that is `age` old, to a question sent at `asked`. `None` where it's older than this
     /// process: no time of its clock is so early, and a later one would make the proof younger than it is.
-    pub fn told(version: u64, age: Duration, asked: MonoTime) -> Option<Self> {
+    pub fn from_answer(version: u64, age: Duration, asked: MonoTime) -> Option<Self> {
         let has_time = age <= asked.since(MonoTime::default());
         has_time.then(|| Self { version, as_of: asked - age })
     }
--- a/crates/relay/src/accounts/limiter.rs
+++ b/crates/relay/src/accounts/limiter.rs
@@ -56,7 +56,7 @@
     }
 
     /// Whether it's time to look which gateways there are.
-    pub fn begin_look(&mut self, now: MonoTime) -> bool {
+    pub fn begin_view_refresh(&mut self, now: MonoTime) -> bool {
         let is_due = self.looked_at.is_none_or(|at| now.since(at) >= LOOK_EVERY);
         if is_due {
             self.looked_at = Some(now);
--- a/crates/relay/src/accounts/view.rs
+++ b/crates/relay/src/accounts/view.rs
@@ -11,7 +11,7 @@
 
 /// What a gateway hears of the others.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct PeerCensus {
+pub struct PeerCounts {
     /// Other gateways that are known.
     pub known: usize,
     /// Those heard now.
@@ -20,7 +20,7 @@
     pub ended: usize,
 }
 
-impl PeerCensus {
+impl PeerCounts {
     /// Whether so many are heard that no other group of gateways can run limiters at the same time.
     pub fn has_quorum(self) -> bool {
         let (heard, known) = (self.heard + 1, self.known + 1);
@@ -38,7 +38,7 @@
 
 impl LimiterView {
     /// The view of a gateway that takes part with `candidates`, itself among them.
-    pub fn new(census: PeerCensus, mut candidates: Vec<VmName>) -> Self {
+    pub fn new(census: PeerCounts, mut candidates: Vec<VmName>) -> Self {
         if !census.has_quorum() {
             return Self::default();
         }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -24,7 +24,7 @@
             limiter::{CreditAnswer, CreditHandover, LimiterTable},
             quota::QuotaTolerance,
             table::{AccountTable, CallerIdentity, may_access},
-            view::{LimiterView, PeerCensus},
+            view::{LimiterView, PeerCounts},
         },
         intake::{
             demand::{DueWork, WorkDemand},
--- a/crates/relay/src/stream/splitter.rs
+++ b/crates/relay/src/stream/splitter.rs
@@ -59,7 +59,7 @@
     }
 
     /// Whether bytes of an event without its end are left.
-    pub fn has_rest(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 
--- a/crates/relay/tests/accounts.rs
+++ b/crates/relay/tests/accounts.rs
@@ -75,9 +75,9 @@
 #[test]
 fn a_proof_older_than_the_process_is_not_used() {
     let age = Duration::from_millis(1_200);
-    assert_eq!(ConfigurationProof::told(3, age, at(200)), None);
+    assert_eq!(ConfigurationProof::from_answer(3, age, at(200)), None);
     let proof = ConfigurationProof { version: 3, as_of: at(300) };
-    assert_eq!(ConfigurationProof::told(3, age, at(1_500)), Some(proof));
+    assert_eq!(ConfigurationProof::from_answer(3, age, at(1_500)), Some(proof));
 }
 
 /// Guards against a proof of a newer configuration that makes an older one in force look fresh.
@@ -145,15 +145,15 @@
 }
 
 #[rstest]
-#[case::all_heard(PeerCensus { known: 23, heard: 23, ended: 0 }, true)]
-#[case::alone(PeerCensus { known: 0, heard: 0, ended: 0 }, true)]
-#[case::cut_off(PeerCensus { known: 23, heard: 0, ended: 0 }, false)]
-#[case::cut_off_by_resets(PeerCensus { known: 23, heard: 0, ended: 23 }, false)]
-#[case::cut_off_as_a_third(PeerCensus { known: 23, heard: 7, ended: 16 }, false)]
-#[case::cut_into_halves(PeerCensus { known: 23, heard: 11, ended: 0 }, false)]
-#[case::half_was_killed(PeerCensus { known: 23, heard: 10, ended: 13 }, true)]
+#[case::all_heard(PeerCounts { known: 23, heard: 23, ended: 0 }, true)]
+#[case::alone(PeerCounts { known: 0, heard: 0, ended: 0 }, true)]
+#[case::cut_off(PeerCounts { known: 23, heard: 0, ended: 0 }, false)]
+#[case::cut_off_by_resets(PeerCounts { known: 23, heard: 0, ended: 23 }, false)]
+#[case::cut_off_as_a_third(PeerCounts { known: 23, heard: 7, ended: 16 }, false)]
+#[case::cut_into_halves(PeerCounts { known: 23, heard: 11, ended: 0 }, false)]
+#[case::half_was_killed(PeerCounts { known: 23, heard: 10, ended: 13 }, true)]
 fn a_gateway_that_hears_too_few_keeps_no_limit(
-    #[case] census: PeerCensus,
+    #[case] census: PeerCounts,
     #[case] has_quorum: bool,
 ) {
     assert_eq!(census.has_quorum(), has_quorum);
@@ -163,7 +163,7 @@
 #[test]
 fn a_limit_that_changes_its_keeper_begins_empty() {
     let mut limiter = LimiterTable::default();
-    let census = PeerCensus { known: 0, heard: 0, ended: 0 };
+    let census = PeerCounts { known: 0, heard: 0, ended: 0 };
     let view = LimiterView::new(census, vec![vm(1)]);
     limiter.set_view(&vm(1), view, at(10_000));
     assert!(matches!(limiter.grant(&account(), LIMIT, 1, at(10_000)), CreditAnswer::UsedUp(_)));
@@ -175,7 +175,7 @@
 fn a_new_keeper_begins_with_what_the_tolerance_bears() {
     let small = AccountLimit { per_second: 2.0, burst: 2.0 };
     let mut limiter = LimiterTable::new(TOLERANCE);
-    let census = PeerCensus { known: 0, heard: 0, ended: 0 };
+    let census = PeerCounts { known: 0, heard: 0, ended: 0 };
     limiter.set_view(&vm(1), LimiterView::new(census, vec![vm(1)]), at(10_000));
     let mut admitted = |limit| {
         let name = AccountName::new(&format!("{limit:?}"));
@@ -188,7 +188,7 @@
 /// Guards against an account that is rejected below its limit whenever a gateway stops or comes.
 #[test]
 fn a_keeper_hands_over_what_is_left() {
-    let census = PeerCensus { known: 1, heard: 1, ended: 0 };
+    let census = PeerCounts { known: 1, heard: 1, ended: 0 };
     let alone = |index| LimiterView::new(census, vec![vm(index)]);
     let (mut former, mut next) = (LimiterTable::default(), LimiterTable::default());
     former.set_view(&vm(1), alone(1), at(0));
@@ -291,7 +291,7 @@
     fn look(&mut self, own: usize, now: MonoTime) {
         let heard: Vec<usize> =
             (0..GATEWAYS).filter(|other| *other != own && self.hears(own, *other)).collect();
-        let census = PeerCensus { known: GATEWAYS - 1, heard: heard.len(), ended: 0 };
+        let census = PeerCounts { known: GATEWAYS - 1, heard: heard.len(), ended: 0 };
         let candidates = heard.into_iter().chain([own]).map(vm).collect();
         let view = LimiterView::new(census, candidates);
         let handovers = self.gateways[own].limiter.set_view(&vm(own), view, now);
--- a/crates/relay/tests/stream.rs
+++ b/crates/relay/tests/stream.rs
@@ -18,7 +18,7 @@
     splitter.push(&event(2)[..7]);
     assert_eq!(splitter.next_event().unwrap().unwrap().id, 1);
     assert_eq!(splitter.next_event(), Ok(None));
-    assert!(splitter.has_rest());
+    assert!(splitter.has_partial_event());
     assert_eq!(splitter.last_id(), Some(1));
 }
 
@@ -67,6 +67,6 @@
             }
         }
         prop_assert_eq!(ids, (1..=count).collect::<Vec<_>>());
-        prop_assert!(!splitter.has_rest());
+        prop_assert!(!splitter.has_partial_event());
     }
 }
