--- a/crates/relay/src/learned.rs
+++ b/crates/relay/src/ewma.rs
@@ -2,9 +2,9 @@
 
 /// A mean in which the newest values count most; 0 until there is one.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct LearnedMean(f64);
+pub(crate) struct Ewma(f64);
 
-impl LearnedMean {
+impl Ewma {
     /// A value was seen; `weight` is its part in the mean, but the first one is the mean.
     pub(crate) fn note(&mut self, newest: f64, weight: f64) {
         let weight = if self.is_known() { weight } else { 1.0 };
--- a/crates/relay/src/jobs/pace.rs
+++ b/crates/relay/src/jobs/pace.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::learned::LearnedMean;
+use crate::ewma::Ewma;
 
 /// Weight of the newest run in what is learned: the last dozen or so count.
 const PACE_WEIGHT: f64 = 0.1;
@@ -33,9 +33,9 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ItemRunTime {
     /// Seconds for an item, whatever its size.
-    item_seconds: LearnedMean,
+    item_seconds: Ewma,
     /// Seconds for each token of an answer, of items that told their tokens.
-    token_seconds: LearnedMean,
+    token_seconds: Ewma,
     /// Runs that it was learned from. Invariant: at most [`RUNS_MOST`].
     runs: u32,
 }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -4,9 +4,9 @@
 //! Nothing here does I/O or reads a clock.
 
 pub mod accounts;
+mod ewma;
 pub mod intake;
 pub mod jobs;
-mod learned;
 pub mod limits;
 pub mod routes;
 pub mod stream;
@@ -61,12 +61,12 @@
             crashes::CrashTable,
             entry::{TargetEntry, TargetState},
             failure::{AttemptFailure, RunVerdict},
-            pace::ServiceLatency,
-            patience::RetryDetector,
-            places::{PreemptedItem, QueueOffer, SlotGrant},
+            grants::{PreemptedItem, QueueOffer, SlotGrant},
+            latency::ServiceLatency,
             prompt::{PromptPrefix, PromptPrefixes},
             record::{TargetUse, UseChange},
-            search::{SlotSearch, SlotSearchStep},
+            retry_detector::RetryDetector,
+            slot_search::{SlotSearch, SlotSearchStep},
             table::TargetTable,
         },
     };
--- a/crates/relay/src/targets/choice.rs
+++ b/crates/relay/src/targets/choice.rs
@@ -1,4 +1,4 @@
-//! What a choice of target is made for, and what it yields.
+//! Input and result of target selection.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -7,62 +7,63 @@
 
 use crate::targets::prompt::PromptPrefixes;
 
-/// Which work asks for a target.
+/// Kind of work that needs a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WorkKind {
-    /// Somebody waits for the answer.
+    /// An online request: a client waits for the answer.
     Online,
-    /// An item of a job.
+    /// An item of a batch job.
     Batch,
 }
 
-/// How long a request may wait for a place.
+/// How long a request may queue for a slot.
 ///
-/// Engines take requests first come first served, so in a crest a few hundredths above what all places
-/// take, everybody would wait as long as the queue has become. A request that can't be in time any
-/// more makes those after it late, too; told at once, its client comes back when the crest is over.
+/// Engines serve requests first come, first served, so at a peak a few hundredths above total
+/// capacity every request would wait as long as the queue has grown. A request that can no longer
+/// meet its objective also delays those behind it; if it is rejected at once, its client can retry
+/// after the peak.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QueueLimit {
-    /// Only as long as its answer likely begins within this time.
+    /// The answer must be likely to begin within this time.
     Within(Duration),
-    /// As long as it takes: it was turned away before, or can't come back in time.
+    /// No limit: the request was rejected before, or its client has no time left for a retry.
     Any,
 }
 
-/// What a target is chosen for.
+/// What target selection takes into account.
 #[derive(Debug, Clone, Copy)]
 pub struct TargetQuery<'a> {
-    /// The service that runs it.
+    /// Service that must run the request.
     pub service: &'a str,
-    /// The kind of work.
+    /// Kind of the work.
     pub work: WorkKind,
-    /// Targets that have failed it.
+    /// Ids of targets on which the request has already failed.
     pub avoid: &'a [String],
-    /// How long it may wait for a place.
+    /// How long the request may queue for a slot.
     pub queue: QueueLimit,
-    /// Its prompt: a target that has read its beginning is a little nearer.
+    /// Prompt prefixes: targets likely to have them cached are preferred slightly.
     pub prompt: &'a PromptPrefixes,
 }
 
-/// The target chosen.
+/// A selected target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TargetChoice {
-    /// The target's id: of one start.
+    /// Id of one incarnation of the target.
     pub id: String,
-    /// The name that the target checks requests for.
+    /// Name that the target expects in requests.
     pub name: String,
-    /// Where it listens.
+    /// Address that the target listens on.
     pub address: SocketAddr,
-    /// Whether a place was free there as far as is known.
+    /// Whether the target had a free slot, as far as this gateway knows.
     pub has_free_slot: bool,
-    /// This gateway's requests there before this one.
+    /// Requests of this gateway at the target, not counting this one.
     pub own_load: u32,
-    /// The other gateways' requests there, as last reported.
+    /// Requests of the other gateways at the target, as last reported.
     pub reported_load: u32,
-    /// Whether the target is this gateway's by preference.
+    /// Whether this gateway is the target's home gateway.
     pub is_home: bool,
-    /// The gateway that admits requests to the target, where it's another one.
+    /// The target's home gateway, if it is another one.
     pub home: Option<VmName>,
-    /// Whether that gateway granted the place, and so counts it already.
+    /// Whether the home gateway granted the slot and so already counts this request.
     pub is_granted: bool,
 }
--- a/crates/relay/src/targets/crashes.rs
+++ b/crates/relay/src/targets/crashes.rs
@@ -1,47 +1,48 @@
-//! Requests that crash the targets which run them.
+//! Detection of requests that crash the targets running them.
 //!
-//! A request may take down each target that begins to run it, and its client sends it again. Nobody
-//! notices from one target alone: each one only closes its connections.
+//! Such a request can take down one target after another, because its client sends it again. No
+//! single target reveals the cause: each of them only closes its connections.
 
 use std::{collections::VecDeque, time::Duration};
 
 use notch_types::prelude::*;
 
-/// Different targets that broke off a request before its first event until it is refused: it may
-/// have been bad luck with two, on a day when one answer of twenty is lost.
+/// Number of different targets that must interrupt a request before its first event until the
+/// request is refused. Two could be a coincidence when one answer in twenty is lost.
 const CRASH_LIMIT: usize = 3;
-/// How long a break counts, and how long a request stays refused: clients send such a request again
-/// within seconds, and a new version of the targets may be able to run it.
-const CRASH_MEMORY: Duration = Duration::from_secs(60);
-/// Requests remembered, at most; the oldest are forgotten first. Ten a second break off on a bad day.
-const CRASHES_KEPT: usize = 1_024;
+/// How long an interruption counts and how long a request stays refused. Clients resend such a
+/// request within seconds, and a new version of the targets may be able to run it.
+const CRASH_RETENTION: Duration = Duration::from_secs(60);
+/// Maximum number of requests remembered; the oldest are evicted first. Ten requests a second are
+/// interrupted in bad conditions.
+const MAX_CRASH_RECORDS: usize = 1_024;
 
-/// What is known of one request.
+/// Interruptions of one request.
 #[derive(Debug)]
 struct CrashRecord {
     at: MonoTime,
-    /// Targets that broke it off. Invariant: different ones, [`CRASH_LIMIT`] at most.
+    /// Targets that interrupted the request. Invariant: distinct, at most [`CRASH_LIMIT`].
     targets: Vec<String>,
 }
 
-/// Requests that targets broke off before their first event, by fingerprint.
+/// Requests that targets interrupted before the first event, by fingerprint.
 #[derive(Debug, Default)]
 pub struct CrashTable {
     records: FastMap<u64, CrashRecord>,
-    /// Fingerprints in the order in which they came.
+    /// Fingerprints in insertion order.
     ages: VecDeque<u64>,
-    /// Requests that are refused, as this or another gateway found, and until when.
+    /// Refused requests, as determined by this or another gateway, with the end of the refusal.
     refused: FastMap<u64, MonoTime>,
 }
 
 impl CrashTable {
-    /// The fingerprint of a request: what is sent again has the same path and body.
+    /// Fingerprint of a request. A resent request has the same path and body.
     pub fn fingerprint(path: &str, body: &[u8]) -> u64 {
         stable_hash64(&[path.as_bytes(), body])
     }
 
-    /// A target broke a request off before its first event; true when the request is to be refused
-    /// from now on.
+    /// Records that a target interrupted a request before its first event. Returns true if the
+    /// request is refused from now on.
     pub fn note_interruption(&mut self, fingerprint: u64, target: &str, now: MonoTime) -> bool {
         self.expire(now);
         let record = self.records.entry(fingerprint).or_insert_with(|| {
@@ -58,18 +59,19 @@
         true
     }
 
-    /// A request is to be refused from now on.
+    /// Refuses a request from now on.
     pub fn refuse(&mut self, fingerprint: u64, now: MonoTime) {
         self.records.remove(&fingerprint);
-        self.refused.insert(fingerprint, now + CRASH_MEMORY);
+        self.refused.insert(fingerprint, now + CRASH_RETENTION);
     }
 
-    /// A target ran the request: the breaks before were not its doing.
+    /// Discards the interruptions of a request after a target has run it: the request did not cause
+    /// them.
     pub fn clear(&mut self, fingerprint: u64) {
         self.records.remove(&fingerprint);
     }
 
-    /// Whether a request is to be refused.
+    /// Whether a request is refused at `now`.
     pub fn is_refused(&self, fingerprint: u64, now: MonoTime) -> bool {
         self.refused.get(&fingerprint).is_some_and(|until| now < *until)
     }
@@ -78,8 +80,8 @@
         self.refused.retain(|_, until| now < *until);
         while let Some(oldest) = self.ages.front() {
             let record = self.records.get(oldest);
-            let is_over = record.is_none_or(|record| now.since(record.at) > CRASH_MEMORY);
-            if !is_over && self.ages.len() < CRASHES_KEPT {
+            let is_over = record.is_none_or(|record| now.since(record.at) > CRASH_RETENTION);
+            if !is_over && self.ages.len() < MAX_CRASH_RECORDS {
                 return;
             }
             self.records.remove(oldest);
--- a/crates/relay/src/targets/entry.rs
+++ b/crates/relay/src/targets/entry.rs
@@ -1,45 +1,46 @@
-//! What a target says of itself.
+//! Registration data of a target.
 
 use std::{net::SocketAddr, time::Duration};
 
 use serde::{Deserialize, Serialize};
 
-/// Whether a target takes new requests.
+/// Whether a target accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TargetState {
-    /// It does.
+    /// Accepts new requests.
     Ready,
-    /// It ends what it has and leaves.
+    /// Finishes its current requests and then leaves.
     Draining,
 }
 
-/// One start of a target, as it registered itself.
+/// Registration of one incarnation of a target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetEntry {
-    /// Unique for each start of the target: its name with its incarnation.
+    /// Unique id of the incarnation: the target's name with its incarnation number.
     pub id: String,
-    /// Its name, which it may keep when it starts again. It checks requests for this name only, so
-    /// the name doesn't tell two starts apart.
+    /// Name of the target, which it may keep across restarts. The target only accepts requests for
+    /// this name, so the name does not distinguish two incarnations.
     pub name: String,
-    /// Incarnation: when it started, milliseconds since the epoch by its own clock; 0 where it
-    /// doesn't say. A higher one is a later start that knows nothing of the ones before.
+    /// Incarnation number: the start time in milliseconds since the epoch by the target's own
+    /// clock, 0 if not reported. A higher number is a later start without any state of the earlier
+    /// ones.
     pub born: u64,
-    /// The service that it is a copy of.
+    /// Service that the target is a replica of.
     pub service: String,
-    /// Where it listens. Another target may come to listen there once this one has ended.
+    /// Address that the target listens on. Another target may reuse it after this one has ended.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the target.
     pub domain: String,
-    /// Requests that it runs at once.
+    /// Number of requests that the target runs concurrently.
     pub slots: u32,
-    /// Whether it takes new requests.
+    /// Whether the target accepts new requests.
     pub state: TargetState,
-    /// How much longer it is slow after its start.
+    /// Remaining time during which the target is slow after its start.
     pub cold_left: Duration,
 }
 
 impl TargetEntry {
-    /// The id of the start at `born` of the target `name`.
+    /// Id of the incarnation of target `name` that started at `born`.
     pub fn start_id(name: &str, born: u64) -> String {
         match born {
             0 => name.to_owned(),
--- a/crates/relay/src/targets/failure.rs
+++ b/crates/relay/src/targets/failure.rs
@@ -1,43 +1,45 @@
-//! The one table of what a failure says about whether the request ran.
+//! Classification of failed attempts: whether the request may have run, and whether the target is
+//! at fault.
 
-/// How an attempt at a target failed before it brought a whole answer.
+/// How an attempt at a target failed before its answer was complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptFailure {
-    /// No connection could be made: nothing was sent.
+    /// The connection could not be established; nothing was sent.
     ConnectFailed,
-    /// The target says that it did not run the request.
+    /// The target reported that it did not run the request.
     RefusedNotRun,
-    /// Another target has the address, or another version of the weights; not run.
+    /// Another target, or one with another version of the weights, answered at the address and did
+    /// not run the request.
     OtherTarget,
-    /// The connection ended or was reset after the request was sent, before an answer began.
+    /// The connection was closed or reset after the request was sent and before an answer began.
     ClosedBeforeAnswer,
-    /// No answer began within the time allowed.
+    /// No answer began within the time limit.
     SilentBeforeAnswer,
-    /// What came is no answer to this request.
+    /// The data received is not an answer to this request.
     SpoiledAnswer,
-    /// The answer was cut short, or a part of it was spoiled.
+    /// The answer was truncated or partly corrupted.
     CutAnswer,
-    /// The answer stopped coming.
+    /// The answer stopped before its end without a closed connection.
     StalledAnswer,
-    /// The target ran the request and says that it failed.
+    /// The target ran the request and reported an error.
     TargetError,
-    /// The target has started again since: nothing of this attempt is left there.
+    /// The target has restarted since the attempt began; nothing of the attempt is left there.
     TargetRestarted,
 }
 
 /// Whether a failed attempt may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunVerdict {
-    /// Proved: it did not run and never will.
+    /// Proven: the request did not run and never will.
     NotRun,
-    /// It may have run, or may still be running.
+    /// The request may have run or may still be running.
     Unknown,
 }
 
 impl AttemptFailure {
-    /// Whether the attempt may have run. Every retry, refusal and final answer follows from this:
-    /// a request that can't be repeated goes elsewhere only after `NotRun`, and only `NotRun` may
-    /// be told to a client as a refusal.
+    /// Whether the attempt may have run. Every retry, refusal and final answer depends on this: a
+    /// non-repeatable request is sent to another target only after `NotRun`, and only `NotRun` may
+    /// be reported to a client as a refusal.
     pub fn verdict(self) -> RunVerdict {
         match self {
             Self::ConnectFailed | Self::RefusedNotRun | Self::OtherTarget => RunVerdict::NotRun,
@@ -51,9 +53,9 @@
         }
     }
 
-    /// Whether it speaks against the target's health. A full target is not ill, and one that runs
-    /// a request and reports its failure may be right.
-    pub fn blames_target(self) -> bool {
+    /// Whether the failure counts against the target's health. A full target is healthy, and a
+    /// target that runs a request and reports an error may be right.
+    pub fn is_target_fault(self) -> bool {
         match self {
             Self::ConnectFailed
             | Self::ClosedBeforeAnswer
@@ -61,24 +63,25 @@
             | Self::SpoiledAnswer
             | Self::CutAnswer
             | Self::StalledAnswer => true,
-            // The start that failed is gone; the new one has done nothing yet.
+            // The incarnation that failed is gone; its successor has not failed yet.
             Self::RefusedNotRun | Self::OtherTarget | Self::TargetError | Self::TargetRestarted => {
                 false
             }
         }
     }
 
-    /// Whether the target's end may be the request's doing: it closed the connection while it ran it.
+    /// Whether the request may have crashed the target: the connection closed while the request
+    /// ran.
     pub fn may_be_crash(self) -> bool {
         matches!(self, Self::ClosedBeforeAnswer | Self::CutAnswer)
     }
 
-    /// Whether nothing came from the target, so that it may be gone or cut off.
-    pub fn is_silence(self) -> bool {
+    /// Whether the target sent nothing at all, so that it may be down or unreachable.
+    pub fn is_unresponsive(self) -> bool {
         matches!(self, Self::ConnectFailed | Self::SilentBeforeAnswer | Self::StalledAnswer)
     }
 
-    /// Stable name for logs and counters.
+    /// Stable code for logs and counters.
     pub fn code(self) -> &'static str {
         match self {
             Self::ConnectFailed => "connect_failed",
--- a/crates/relay/src/targets/health.rs
+++ b/crates/relay/src/targets/health.rs
@@ -1,67 +1,69 @@
-//! Whether a target is avoided, by outcomes of real requests.
+//! Target health, derived from the outcomes of requests.
 
 use std::time::Duration;
 
 use notch_types::prelude::*;
 
-/// First time a target is avoided after a failure: longer than an event's usual pace (30 ms), short
-/// against a restart (seconds), so that one lost answer costs little.
-const AVOID_FIRST: Duration = Duration::from_millis(300);
-/// Longest time a target is avoided between two probes.
-const AVOID_LONGEST: Duration = Duration::from_secs(2);
-/// Doublings from the first time to the longest.
+/// Avoidance time after a first failure: longer than the usual interval between events (30 ms) and
+/// short compared with a restart (seconds), so that one lost answer costs little.
+const AVOID_INITIAL: Duration = Duration::from_millis(300);
+/// Maximum avoidance time between two probes.
+const AVOID_MAX: Duration = Duration::from_secs(2);
+/// Number of doublings from the initial to the maximum avoidance time.
 const AVOID_DOUBLINGS: u32 = 3;
 
-/// Evidence for and against one target.
+/// Health of one target.
 #[derive(Debug, Clone, Default)]
 pub struct TargetHealth {
     /// Failures since the last success.
     failures: u32,
-    /// New requests avoid the target until then.
+    /// Until when new requests avoid the target.
     avoid_until: MonoTime,
-    /// One request was let through to find out. Invariant: only while `failures` is above 0.
+    /// Whether a single request is probing the target. Invariant: only while `failures` is above 0.
     probing: bool,
-    /// The target went silent: no request is risked until it answers a call that runs nothing.
+    /// Whether the target is unresponsive: no request is sent there until it answers a liveness
+    /// probe.
     is_silent: bool,
 }
 
 impl TargetHealth {
-    /// Whether new requests should go elsewhere at `now`.
+    /// Whether new requests should avoid the target at `now`.
     pub fn is_avoided(&self, now: MonoTime) -> bool {
         self.failures > 0 && (now < self.avoid_until || self.probing || self.is_silent)
     }
 
-    /// Whether a liveness probe should go to the target at `now`. Real requests sent to find
-    /// out were lost at each try while a target was dark.
+    /// Whether a liveness probe should be sent to the target at `now`. Probing with real requests
+    /// lost one of them at each try while the target was unreachable.
     pub fn needs_liveness_probe(&self, now: MonoTime) -> bool {
         self.is_silent && now >= self.avoid_until
     }
 
-    /// The target answered a liveness probe: one request may go there and find out the rest.
+    /// Records an answered liveness probe: the next request may probe the target further.
     pub fn note_liveness(&mut self) {
         self.is_silent = false;
     }
 
-    /// A request starts there.
+    /// Records that a request was sent to the target.
     pub fn start(&mut self) {
         self.probing = self.failures > 0;
     }
 
-    /// A request was answered.
+    /// Records an answered request.
     pub fn succeed(&mut self) {
         *self = Self::default();
     }
 
-    /// A request failed in a way that blames the target; `is_silent` when nothing came from it.
+    /// Records a failure that is the target's fault; `is_silent` means that the target sent
+    /// nothing.
     pub fn fail(&mut self, is_silent: bool, now: MonoTime) {
-        let wait = AVOID_FIRST * 2_u32.pow(self.failures.min(AVOID_DOUBLINGS));
+        let wait = AVOID_INITIAL * 2_u32.pow(self.failures.min(AVOID_DOUBLINGS));
         self.failures = self.failures.saturating_add(1);
-        self.avoid_until = now + wait.min(AVOID_LONGEST);
+        self.avoid_until = now + wait.min(AVOID_MAX);
         self.probing = false;
         self.is_silent = is_silent;
     }
 
-    /// A probe ended without saying anything about the target.
+    /// Records that a probing request ended without an indication of the target's health.
     pub fn forget_probe(&mut self) {
         self.probing = false;
     }
--- a/crates/relay/src/targets/homes.rs
+++ b/crates/relay/src/targets/homes.rs
@@ -1,24 +1,25 @@
-//! Which gateway admits requests to which target.
+//! Assignment of targets to home gateways, which admit the requests to them.
 
 use notch_types::prelude::*;
 
-/// Which gateway admits requests to which target, and which of them are asked for a place.
+/// Home gateway of each target, and which home gateways can currently be asked for a slot.
 #[derive(Debug, Default)]
 pub struct TargetHomes {
-    /// By the target's id. Empty where targets aren't shared out, so that all belong to this gateway.
+    /// Home gateway by target id. Empty while targets are not divided among gateways, in which case
+    /// this gateway is the home of all of them.
     homes: FastMap<String, VmName>,
-    /// This gateway, as it stands in `homes`.
+    /// Name of this gateway, as it appears in `homes`.
     own: Option<VmName>,
-    /// What `homes` was computed from.
-    divided_for: u64,
-    /// Gateways that aren't asked until then: they had no place, or didn't answer.
+    /// Digest of the input from which `homes` was computed.
+    input_digest: u64,
+    /// Gateways that had no slot or did not answer, with the time until which they are not asked.
     denied: FastMap<VmName, MonoTime>,
 }
 
 impl TargetHomes {
-    /// Divides `targets` among `gateways`, this one among them, each with its failure domain. All gateways
-    /// that know the same compute the same.
-    pub fn divide(
+    /// Assigns `targets` to `gateways`, which include this one, each given with its failure domain.
+    /// The result is deterministic: gateways with the same input compute the same assignment.
+    pub fn assign(
         &mut self,
         own: &str,
         mut targets: Vec<(&str, &str)>,
@@ -30,22 +31,24 @@
         names.sort_unstable();
         let pairs = targets.iter().chain(&names);
         let input: Vec<&[u8]> = pairs.flat_map(|(a, b)| [a.as_bytes(), b.as_bytes()]).collect();
-        let divided_for = stable_hash64(&input);
-        if divided_for == self.divided_for {
+        let input_digest = stable_hash64(&input);
+        if input_digest == self.input_digest {
             return;
         }
-        self.homes = if names.len() < 2 { FastMap::default() } else { divided(&targets, &names) };
+        self.homes =
+            if names.len() < 2 { FastMap::default() } else { assign_to_gateways(&targets, &names) };
         self.own = Some(VmName::new(own));
-        self.divided_for = divided_for;
+        self.input_digest = input_digest;
         self.denied.retain(|home, _| names.iter().any(|(name, _)| *name == home.as_str()));
     }
 
-    /// Whether targets are shared out among several gateways.
+    /// Whether targets are divided among several gateways.
     pub fn is_shared(&self) -> bool {
         !self.homes.is_empty()
     }
 
-    /// Whether this gateway admits requests to a target. One that was divided to nobody yet is nobody's.
+    /// Whether this gateway is the home of a target. An unassigned target has no home while targets
+    /// are divided.
     pub fn is_own(&self, id: &str) -> bool {
         match self.homes.get(id) {
             Some(home) => self.own.as_ref() == Some(home),
@@ -53,33 +56,36 @@
         }
     }
 
-    /// The other gateway that admits requests to a target.
+    /// The home gateway of a target, if it is another gateway.
     pub fn other_home(&self, id: &str) -> Option<&VmName> {
         self.homes.get(id).filter(|home| self.own.as_ref() != Some(home))
     }
 
-    /// A gateway isn't asked for places until `until`.
+    /// Excludes a gateway from slot requests until `until`.
     pub fn note_denied(&mut self, home: &VmName, until: MonoTime) {
         self.denied.insert(home.clone(), until);
     }
 
-    /// Whether a gateway may be asked for a place.
+    /// Whether a gateway may be asked for a slot.
     pub fn may_ask(&self, home: &VmName, now: MonoTime) -> bool {
         self.denied.get(home).is_none_or(|until| now >= *until)
     }
 }
 
-/// Divides targets among the gateways of their failure domain by rendezvous hashing, none with more than its
-/// part: when a gateway comes or goes few targets change their home. Where a domain has no gateway, all
-/// gateways share its targets.
-fn divided(targets: &[(&str, &str)], gateways: &[(&str, &str)]) -> FastMap<String, VmName> {
+/// Assigns targets to the gateways of their failure domain by rendezvous hashing with a cap of an
+/// equal part for each gateway, so that few targets change their home when a gateway joins or
+/// leaves. The targets of a domain without a gateway are divided among all gateways.
+fn assign_to_gateways(
+    targets: &[(&str, &str)],
+    gateways: &[(&str, &str)],
+) -> FastMap<String, VmName> {
     let mut domains: FastMap<&str, Vec<&str>> = FastMap::default();
     for (id, domain) in targets {
         domains.entry(domain).or_default().push(id);
     }
     let mut homes = FastMap::default();
     for (domain, ids) in domains {
-        let near = gateways.iter().filter(|(_, place)| *place == domain);
+        let near = gateways.iter().filter(|(_, gateway_domain)| *gateway_domain == domain);
         let mut names: Vec<&str> = near.map(|(name, _)| *name).collect();
         if names.is_empty() {
             names = gateways.iter().map(|(name, _)| *name).collect();
--- a/crates/relay/src/targets/record.rs
+++ b/crates/relay/src/targets/record.rs
@@ -1,4 +1,4 @@
-//! What is known of one target, and how loaded it is.
+//! State and load of one target.
 
 use notch_types::prelude::*;
 use serde::{Deserialize, Serialize};
@@ -7,40 +7,43 @@
     choice::{QueueLimit, WorkKind},
     entry::{TargetEntry, TargetState},
     health::TargetHealth,
-    pace::ServiceLatency,
+    latency::ServiceLatency,
 };
 
-/// Places of another gateway's home target that batch leaves free: its load is known late.
-const BATCH_RESERVE_FOREIGN: u32 = 3;
-/// Added to the load of a target in another failure domain, in requests: bytes between domains cost,
-/// but less than a wait for a place.
-const FAR_PENALTY: f64 = 0.3;
-/// Added to the load of another gateway's home target, in requests: its load is known late.
-const FOREIGN_PENALTY: f64 = 1.5;
-/// Weight of an own item in a target's load: it yields its place when an online request needs it.
-const YIELDING_WEIGHT: f64 = 0.7;
-/// Added to the load of a target that is slow after its start or may be about to leave, in requests:
-/// it gets new ones where others are a quarter fuller, but never is a place left free for it.
+/// Slots of a remote target (one with another home gateway) that batch leaves free, because its
+/// load is known late.
+const REMOTE_BATCH_RESERVE: u32 = 3;
+/// Load penalty, in requests, of a target in another failure domain: traffic between domains is
+/// expensive, but less so than waiting for a slot.
+const CROSS_DOMAIN_PENALTY: f64 = 0.3;
+/// Load penalty, in requests, of a remote target, because its load is known late.
+const REMOTE_PENALTY: f64 = 1.5;
+/// Weight of this gateway's items in a target's load: an item is preempted when an online request
+/// needs its slot.
+const PREEMPTIBLE_WEIGHT: f64 = 0.7;
+/// Load penalty, in requests, of a target that is slow after its start or may be about to leave: it
+/// gets new requests when other targets are a quarter fuller, but its slots are never left unused.
 const SLOW_PENALTY: f64 = 2.0;
-/// Tokens of a prompt that a target has read count for as much as one request less there. Reading
-/// 1,200 tokens takes 14 ms; so much longer does a usual stream take beside one request more.
-const WARM_TOKENS: f64 = 1_200.0;
-/// The most that it counts, in requests: a popular prompt must not fill one target.
-const WARMTH_LONGEST: f64 = 1.0;
-/// Requests that may wait at a target for each of its places before it counts as full.
-const QUEUE_PER_SLOT: f64 = 1.0;
+/// Number of cached prompt tokens that count as much as one request less. Processing 1,200 tokens
+/// takes 14 ms, by which one more concurrent request slows down a usual stream.
+const CACHED_TOKENS_PER_REQUEST: f64 = 1_200.0;
+/// Maximum bonus for cached prompt tokens, in requests, so that a popular prompt does not fill one
+/// target.
+const MAX_CACHE_BONUS: f64 = 1.0;
+/// Queued requests for each slot at which a target counts as full.
+const MAX_QUEUE_PER_SLOT: f64 = 1.0;
 
 /// Requests of one gateway at one target.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TargetUse {
     /// Online requests.
     pub online: u32,
-    /// Items of jobs.
+    /// Items of batch jobs.
     pub batch: u32,
 }
 
 impl TargetUse {
-    /// Both together.
+    /// Sum of online requests and items.
     pub fn total(self) -> u32 {
         self.online + self.batch
     }
@@ -60,90 +63,91 @@
     }
 }
 
-/// What became of a request at a target.
+/// Change in a gateway's use of a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UseChange {
-    /// It begins.
+    /// A request begins.
     Begin,
-    /// It has ended.
+    /// A request has ended.
     End,
 }
 
-/// What is known of one target.
+/// State of one target.
 #[derive(Debug)]
 pub(super) struct TargetRecord {
     pub(super) entry: TargetEntry,
-    /// Requests of this gateway that are under way.
+    /// Requests of this gateway in progress.
     pub(super) own: TargetUse,
-    /// Sum of the other gateways' last reports.
+    /// Sum of the last reports of the other gateways.
     pub(super) others: TargetUse,
     pub(super) health: TargetHealth,
-    /// Another target answered at its address: not used until it registers again.
-    pub(super) displaced: bool,
-    /// It is slow until then, or may be: it has just started, or it closes its connections, as one
-    /// that is about to leave does.
+    /// Whether another target answered at its address. The target is not used until it registers
+    /// again.
+    pub(super) address_reused: bool,
+    /// Until when the target is considered slow, because it has just started or because it closes
+    /// its connections as targets do before they leave.
     pub(super) slow_until: MonoTime,
 }
 
 impl TargetRecord {
-    /// Whether a place is free.
-    pub(super) fn has_place(&self) -> bool {
+    pub(super) fn has_free_slot(&self) -> bool {
         self.total() < self.entry.slots
     }
 
-    /// Requests that wait for a place.
+    /// Requests that are queued at the target.
     pub(super) fn waiting(&self) -> u32 {
         self.total().saturating_sub(self.entry.slots)
     }
 
-    /// Whether it takes requests of a service.
+    /// Whether it accepts requests for a service.
     pub(super) fn takes(&self, service: &str) -> bool {
-        let ready = self.entry.state == TargetState::Ready && !self.displaced;
+        let ready = self.entry.state == TargetState::Ready && !self.address_reused;
         ready && self.entry.service == service && !self.is_full()
     }
 
-    /// All requests there.
+    /// Requests of all gateways at the target.
     pub(super) fn total(&self) -> u32 {
         self.own.total() + self.others.total()
     }
 
     fn is_full(&self) -> bool {
-        f64::from(self.total()) >= f64::from(self.entry.slots) * (1.0 + QUEUE_PER_SLOT)
+        f64::from(self.total()) >= f64::from(self.entry.slots) * (1.0 + MAX_QUEUE_PER_SLOT)
     }
 
-    /// Whether an item may start there: own targets are filled, at others a few places are left.
-    pub(super) fn has_batch_place(&self, is_home: bool) -> bool {
-        let reserve = if is_home { 0 } else { BATCH_RESERVE_FOREIGN };
+    /// Whether an item may start there. Targets of this gateway are filled up; remote targets keep
+    /// a reserve.
+    pub(super) fn has_batch_slot(&self, is_home: bool) -> bool {
+        let reserve = if is_home { 0 } else { REMOTE_BATCH_RESERVE };
         let open = self.entry.slots.saturating_sub(reserve).max(1);
         self.total() < open
     }
 
-    /// Whether an online request that comes now likely begins in time. Own items yield their places at
-    /// once.
-    pub(super) fn is_in_time(&self, queue: QueueLimit, pace: &ServiceLatency) -> bool {
+    /// Whether an online request that arrives now is likely to begin in time. Items of this gateway
+    /// are not counted, since they are preempted at once.
+    pub(super) fn is_in_time(&self, queue: QueueLimit, latency: &ServiceLatency) -> bool {
         match queue {
             QueueLimit::Any => true,
             QueueLimit::Within(objective) => {
                 let ahead = self.own.online + self.others.total();
-                pace.is_in_time(ahead, self.entry.slots, objective)
+                latency.is_in_time(ahead, self.entry.slots, objective)
             }
         }
     }
 
-    /// What it's worth, in requests, that the target has read so many tokens of a prompt.
-    pub(super) fn warmth(&self, read: u32) -> f64 {
+    /// Bonus, in requests, for a target that has `read` tokens of the prompt cached.
+    pub(super) fn cache_bonus(&self, read: u32) -> f64 {
         if self.total() >= self.entry.slots {
             return 0.0;
         }
-        (f64::from(read) / WARM_TOKENS).min(WARMTH_LONGEST)
+        (f64::from(read) / CACHED_TOKENS_PER_REQUEST).min(MAX_CACHE_BONUS)
     }
 
-    /// How loaded it is, in requests, with what speaks for and against it.
+    /// Load of the target in requests, adjusted by penalties; the lowest score is preferred.
     pub(super) fn score(&self, domain: &str, is_home: bool, now: MonoTime) -> f64 {
-        let far = if self.entry.domain == domain { 0.0 } else { FAR_PENALTY };
-        let foreign = if is_home { 0.0 } else { FOREIGN_PENALTY };
-        let own_items = f64::from(self.own.batch) * (1.0 - YIELDING_WEIGHT);
+        let cross_domain = if self.entry.domain == domain { 0.0 } else { CROSS_DOMAIN_PENALTY };
+        let remote = if is_home { 0.0 } else { REMOTE_PENALTY };
+        let own_items = f64::from(self.own.batch) * (1.0 - PREEMPTIBLE_WEIGHT);
         let slow = if now < self.slow_until { SLOW_PENALTY } else { 0.0 };
-        f64::from(self.total()) - own_items + far + foreign + slow
+        f64::from(self.total()) - own_items + cross_domain + remote + slow
     }
 }
--- a/crates/relay/src/targets/search.rs
+++ b/crates/relay/src/targets/slot_search.rs
@@ -1,8 +1,9 @@
-//! The search for a place for one online request.
+//! Search for a slot for one online request.
 //!
-//! The load that it answers: crests in which nine tenths of all places are taken, or a little more than all.
-//! Whoever finds its own targets full sees the same few free places as everybody else, so a place at
-//! another gateway's target is asked for; only its home knows at once which places are gone.
+//! It is designed for peaks in which nine tenths of all slots, or slightly more than all, are in
+//! use. Gateways whose own targets are full then see the same few free slots, so a slot at a remote
+//! target is requested from the target's home gateway, the only one that knows at once which slots
+//! are taken.
 
 use std::time::Duration;
 
@@ -10,50 +11,53 @@
 
 use crate::targets::{
     choice::{TargetChoice, TargetQuery},
-    places::{PreemptedItem, QueueOffer},
+    grants::{PreemptedItem, QueueOffer},
     table::TargetTable,
 };
 
-/// Gateways asked for a place for one choice of a target, at most.
-const PLACE_ASKS: u32 = 8;
-/// The same before an item yields its place at an own target.
-const FREE_ASKS: u32 = 2;
-/// A home without a free place isn't asked again for so long.
-const FULL_PAUSE: Duration = Duration::from_millis(50);
-/// The same for a home that doesn't answer: it may be stopped, or cut off.
-const SILENT_PAUSE: Duration = Duration::from_millis(500);
+/// Maximum number of gateways asked for a slot in one target selection.
+const MAX_SLOT_REQUESTS: u32 = 8;
+/// Maximum number of gateways asked before an item is preempted at an own target.
+const MAX_REQUESTS_BEFORE_PREEMPTION: u32 = 2;
+/// Time for which a home gateway without a free slot is not asked again.
+const FULL_BACKOFF: Duration = Duration::from_millis(50);
+/// Time for which a home gateway that did not answer is not asked again: it may be stopped or
+/// unreachable.
+const SILENT_BACKOFF: Duration = Duration::from_millis(500);
 
-/// What comes next in the search for a place.
+/// Next step of a slot search.
 #[derive(Debug, PartialEq, Eq)]
 pub enum SlotSearchStep {
-    /// The request is counted at this target. Where an item has to yield its place there, whose.
+    /// The request is counted at this target. If an item has to be preempted there, its owner is
+    /// given.
     Take(TargetChoice, Option<PreemptedItem>),
-    /// Ask a gateway for a place at one of its targets; with `may_displace` also for one that an item has.
+    /// Ask a gateway for a slot at one of its targets.
     Ask {
-        /// The gateway.
+        /// The gateway to ask.
         home: VmName,
-        /// Whether an item may yield its place.
+        /// Whether the gateway may preempt an item to free a slot.
         may_displace: bool,
     },
 }
 
-/// The search for a place for one online request.
+/// State of the slot search for one online request.
 #[derive(Debug, Default)]
 pub struct SlotSearch {
     asks: u32,
-    /// The shortest queue that another gateway offered.
+    /// Shortest queue offered by another gateway.
     offer: Option<QueueOffer>,
 }
 
 impl SlotSearch {
-    /// Gateways asked so far.
+    /// Number of gateways asked so far.
     pub fn asks(&self) -> u32 {
         self.asks
     }
 
-    /// The next step: a free own place, else one that another gateway has, else one that an item yields at an
-    /// own target, then elsewhere; else a place in the shortest queue known. `None` when the request can't be
-    /// in time anywhere.
+    /// Returns the next step, in this order of preference: a free slot at an own target; a free
+    /// slot at a remote target; a slot freed by preempting an item, first at an own and then at a
+    /// remote target; the shortest known queue. Returns `None` if the request cannot be served in
+    /// time anywhere.
     pub fn next_step(
         &mut self,
         targets: &mut TargetTable,
@@ -64,21 +68,23 @@
         if let Some(own) = targets.pick_own(query, now, &mut draw) {
             return targets.take(query, own).map(|choice| SlotSearchStep::Take(choice, None));
         }
-        if let Some(ask) = self.ask(targets, query, FREE_ASKS, false, now, &mut draw) {
+        if let Some(ask) =
+            self.ask(targets, query, MAX_REQUESTS_BEFORE_PREEMPTION, false, now, &mut draw)
+        {
             return Some(ask);
         }
-        if let Some((own, preempted)) = targets.pick_yielding(query, now) {
+        if let Some((own, preempted)) = targets.pick_preemptible(query, now) {
             let choice = targets.take(query, TargetChoice { has_free_slot: true, ..own })?;
             return Some(SlotSearchStep::Take(choice, Some(preempted)));
         }
-        if let Some(ask) = self.ask(targets, query, PLACE_ASKS, true, now, &mut draw) {
+        if let Some(ask) = self.ask(targets, query, MAX_SLOT_REQUESTS, true, now, &mut draw) {
             return Some(ask);
         }
         let offered = self.offer.as_ref();
         let offered = offered.and_then(|offer| targets.pick_offered(query, offer, now));
         let own = || targets.pick(query, now, &mut draw);
         let pick = offered.or_else(own).or_else(|| {
-            // Better a target that has failed it than none.
+            // A target that has already failed this request is better than none.
             let query = TargetQuery { avoid: &[], ..*query };
             targets.pick(&query, now, &mut draw)
         })?;
@@ -91,12 +97,12 @@
         &mut self,
         targets: &TargetTable,
         query: &TargetQuery<'_>,
-        most: u32,
+        max_asks: u32,
         may_displace: bool,
         now: MonoTime,
         draw: &mut impl FnMut() -> f64,
     ) -> Option<SlotSearchStep> {
-        if self.asks >= most {
+        if self.asks >= max_asks {
             return None;
         }
         let home = targets.home_to_ask(query, may_displace, now, draw)?;
@@ -104,7 +110,7 @@
         Some(SlotSearchStep::Ask { home, may_displace })
     }
 
-    /// A home has no place, but the queue that it offers.
+    /// Records that a home gateway has no slot but offers a queue.
     pub fn note_denied(
         &mut self,
         targets: &mut TargetTable,
@@ -114,11 +120,11 @@
     ) {
         let known = self.offer.take().into_iter().chain(offer);
         self.offer = known.min_by_key(|offer| offer.waiting);
-        targets.note_denied(home, now + FULL_PAUSE);
+        targets.note_denied(home, now + FULL_BACKOFF);
     }
 
-    /// A home didn't answer in time.
+    /// Records that a home gateway did not answer in time.
     pub fn note_silent(&mut self, targets: &mut TargetTable, home: &VmName, now: MonoTime) {
-        targets.note_denied(home, now + SILENT_PAUSE);
+        targets.note_denied(home, now + SILENT_BACKOFF);
     }
 }
--- a/crates/relay/src/targets/table.rs
+++ b/crates/relay/src/targets/table.rs
@@ -1,4 +1,4 @@
-//! Every target known, how loaded it is, and the choice among them.
+//! All known targets, their load, and the selection among them.
 
 mod admission;
 
@@ -12,34 +12,35 @@
     failure::AttemptFailure,
     health::TargetHealth,
     homes::TargetHomes,
-    pace::ServiceLatency,
+    latency::ServiceLatency,
+    prefix_cache::PrefixCacheIndex,
     record::{TargetRecord, TargetUse},
-    warm_prompts::WarmPrompts,
 };
 
-/// How long a target that closes a connection counts as about to leave: its entry says so within a
-/// second if it does.
-const CLOSING_HINT: Duration = Duration::from_secs(1);
-/// Divided by the number of gateways, the share of the others' home targets that one choice for an item looks
-/// at. Were all looked at, every gateway would pick the one that was least loaded a tenth of a second ago.
-const FOREIGN_CHOICES: f64 = 4.0;
-/// Spread of the random tie-break, in requests. Without it gateways that hear the same reports
-/// pick the same target at the same moment.
-const TIE_SPREAD: f64 = 0.5;
-/// Share of the other gateways' home targets where only the own ones are looked at.
+/// How long a target that closed a connection is considered about to leave. If it leaves, its entry
+/// says so within a second.
+const CLOSING_PENALTY_TIME: Duration = Duration::from_secs(1);
+/// Number of gateways whose targets one selection for an item considers on average. Divided by the
+/// number of all gateways, it is the fraction of remote targets considered. If all were considered,
+/// every gateway would pick the target that was least loaded a tenth of a second ago.
+const REMOTE_GATEWAYS_SAMPLED: f64 = 4.0;
+/// Range of the random tie-break, in requests. Without it, gateways with the same reports pick the
+/// same target at the same moment.
+const TIE_BREAK_RANGE: f64 = 0.5;
+/// Value of `remote_share` with which no remote target is considered.
 const OWN_ONLY: f64 = -1.0;
-/// Requests that may wait at a target before items of jobs are broken off there: one waits for an
-/// eighth of a usual stream, 75 ms, which an objective of 300 ms bears.
-const PREEMPT_QUEUE: u32 = 1;
-/// A peer's report counts for this long; it is sent anew at least twice as often.
+/// Number of queued requests up to which items are not preempted: one request waits for an eighth
+/// of a usual stream, 75 ms, which an objective of 300 ms allows.
+const PREEMPTION_QUEUE_LIMIT: u32 = 1;
+/// How long a peer's report is valid; it is sent again at least twice in this time.
 const REPORT_LIFETIME: Duration = Duration::from_millis(2_500);
 
-/// Own use of a target whose entry is gone.
+/// This gateway's use of a target without an entry.
 #[derive(Debug, Clone, Copy, Default)]
-struct LeftoverUse {
+struct OrphanedUse {
     own: TargetUse,
-    /// The target has started again: what was under way there has ended, whether or not its
-    /// connection says so.
+    /// Whether the target has restarted: its earlier requests have ended, even if their connections
+    /// do not show it.
     has_restarted: bool,
 }
 
@@ -49,42 +50,42 @@
     uses: FastMap<String, TargetUse>,
 }
 
-/// Every target known to one gateway.
+/// All targets known to one gateway.
 #[derive(Debug, Default)]
 pub struct TargetTable {
-    /// The gateway's own failure domain.
+    /// Failure domain of this gateway.
     domain: String,
     records: FastMap<String, TargetRecord>,
     reports: FastMap<VmName, PeerReport>,
-    /// Which gateway admits requests to which target.
+    /// Home gateways of the targets.
     homes: TargetHomes,
-    /// Share of the other gateways' home targets that one choice looks at.
-    foreign_share: f64,
-    /// How long answers take, by service.
-    paces: FastMap<String, ServiceLatency>,
-    /// What targets have read of prompts.
-    warm: WarmPrompts,
-    /// Own use of targets whose entry is gone, until their last request ends.
-    leftovers: FastMap<String, LeftoverUse>,
+    /// Fraction of the remote targets that one selection for an item considers.
+    remote_share: f64,
+    /// Learned latency by service.
+    latencies: FastMap<String, ServiceLatency>,
+    /// Prompt prefixes that targets are likely to have cached.
+    prefix_cache: PrefixCacheIndex,
+    /// This gateway's use of targets without an entry, until their last request ends.
+    orphaned_uses: FastMap<String, OrphanedUse>,
 }
 
 impl TargetTable {
-    /// An empty table of a gateway in `domain`.
+    /// Creates an empty table for a gateway in failure domain `domain`.
     pub fn new(domain: &str) -> Self {
         Self { domain: domain.to_owned(), ..Self::default() }
     }
 
-    /// Takes a target's entry as it is at `now`.
+    /// Adds or updates a target's entry as received at `now`.
     pub fn put(&mut self, entry: TargetEntry, now: MonoTime) {
         let id = entry.id.clone();
         let slow_until = now + entry.cold_left;
         if let Some(record) = self.records.get_mut(&id) {
             record.entry = entry;
-            record.displaced = false;
+            record.address_reused = false;
             record.slow_until = slow_until.max(record.slow_until);
             return;
         }
-        let own = self.leftovers.remove(&id).unwrap_or_default().own;
+        let own = self.orphaned_uses.remove(&id).unwrap_or_default().own;
         let mut others = TargetUse::default();
         for report in self.reports.values() {
             let reported = report.uses.get(&id).copied().unwrap_or_default();
@@ -92,77 +93,80 @@
             others.batch += reported.batch;
         }
         let health = TargetHealth::default();
-        let displaced = false;
-        let record = TargetRecord { entry, own, others, health, displaced, slow_until };
+        let address_reused = false;
+        let record = TargetRecord { entry, own, others, health, address_reused, slow_until };
         self.records.insert(id, record);
     }
 
-    /// A target told that it closes the connection. One that is about to leave does so before its
-    /// entry says it; others do now and then.
+    /// Records that a target announced the close of its connection. A target that is about to leave
+    /// does so before its entry changes; other targets do it occasionally.
     pub fn note_closing(&mut self, id: &str, now: MonoTime) {
         if let Some(record) = self.records.get_mut(id) {
-            record.slow_until = record.slow_until.max(now + CLOSING_HINT);
+            record.slow_until = record.slow_until.max(now + CLOSING_PENALTY_TIME);
         }
     }
 
-    /// A target's entry is gone: it gets nothing new.
+    /// Removes a target whose entry is gone. It gets no new requests.
     pub fn remove(&mut self, id: &str) {
         if let Some(record) = self.records.remove(id)
             && record.own.total() > 0
         {
-            let leftover = LeftoverUse { own: record.own, has_restarted: false };
-            self.leftovers.insert(id.to_owned(), leftover);
+            let orphaned = OrphanedUse { own: record.own, has_restarted: false };
+            self.orphaned_uses.insert(id.to_owned(), orphaned);
         }
     }
 
-    /// The start `id` of a target is over, and a later one has registered: a connection that is
-    /// silent since the target lost power tells nothing, so runs there would wait for their time-out.
+    /// Removes incarnation `id` of a target after a later incarnation has registered. If the target
+    /// lost power, its connections stay silent without being closed, and requests there would
+    /// otherwise wait for their time-out.
     pub fn remove_restarted(&mut self, id: &str) {
         self.remove(id);
-        if let Some(leftover) = self.leftovers.get_mut(id) {
-            leftover.has_restarted = true;
+        if let Some(orphaned) = self.orphaned_uses.get_mut(id) {
+            orphaned.has_restarted = true;
         }
     }
 
-    /// Whether requests are under way at the start `id` of a target that has started again since.
+    /// Whether incarnation `id` of a target still has requests here although the target has
+    /// restarted.
     pub fn has_restarted(&self, id: &str) -> bool {
-        self.leftovers.get(id).is_some_and(|leftover| leftover.has_restarted)
+        self.orphaned_uses.get(id).is_some_and(|orphaned| orphaned.has_restarted)
     }
 
-    /// Ids of every target.
+    /// Ids of all targets.
     pub fn ids(&self) -> impl Iterator<Item = &str> {
         self.records.keys().map(String::as_str)
     }
 
-    /// Entries of every target.
+    /// Entries of all targets.
     pub fn entries(&self) -> impl Iterator<Item = &TargetEntry> {
         self.records.values().map(|record| &record.entry)
     }
 
-    /// How many targets take new requests.
+    /// Number of targets that accept new requests.
     pub fn ready_count(&self) -> usize {
         self.records.values().filter(|r| r.entry.state == TargetState::Ready).count()
     }
 
-    /// Places left to items now, by service: those that no online request has, at targets that take requests.
+    /// Slots available to items by service: slots without an online request, at targets that accept
+    /// requests.
     pub fn item_slots(&self, now: MonoTime) -> FastMap<String, u32> {
-        let mut places: FastMap<String, u32> = FastMap::default();
+        let mut slots: FastMap<String, u32> = FastMap::default();
         for record in self.records.values() {
             let is_able = record.entry.state == TargetState::Ready
-                && !record.displaced
+                && !record.address_reused
                 && !record.health.is_avoided(now);
             let taken = record.own.online + record.others.online;
             let left = if is_able { record.entry.slots.saturating_sub(taken) } else { 0 };
-            *places.entry(record.entry.service.clone()).or_default() += left;
+            *slots.entry(record.entry.service.clone()).or_default() += left;
         }
-        places
+        slots
     }
 
-    /// Chooses a target for one attempt, and counts it there until [`finish`](Self::finish). `draw`
-    /// gives random numbers from 0 to 1.
+    /// Selects a target for one attempt and counts the attempt there until
+    /// [`finish`](Self::finish). `draw` returns random numbers from 0 to 1.
     ///
-    /// Online work takes the least loaded target, a queue if there must be one. Batch takes a
-    /// target only if places stay free.
+    /// Online work takes the least loaded target, even if it has to queue. Batch work takes a
+    /// target only if slots stay free.
     pub fn choose(
         &mut self,
         query: &TargetQuery<'_>,
@@ -172,15 +176,15 @@
         let choice = match query.work {
             WorkKind::Online => self.pick(query, now, &mut draw)?,
             WorkKind::Batch => {
-                let (_, record) = self.best_record(query, now, self.foreign_share, &mut draw)?;
+                let (_, record) = self.best_record(query, now, self.remote_share, &mut draw)?;
                 self.choice_of(record)
             }
         };
         self.take(query, choice)
     }
 
-    /// A free place at one of this gateway's own targets, whose load it knows exactly. Nothing is counted
-    /// there before [`take`](Self::take).
+    /// Selects a free slot at one of this gateway's own targets, whose load it knows exactly.
+    /// Nothing is counted before [`take`](Self::take).
     pub fn pick_own(
         &self,
         query: &TargetQuery<'_>,
@@ -188,12 +192,13 @@
         mut draw: impl FnMut() -> f64,
     ) -> Option<TargetChoice> {
         let best = self.best_record(query, now, OWN_ONLY, &mut draw);
-        let free = best.filter(|(_, record)| record.has_place() && !record.health.is_avoided(now));
+        let free =
+            best.filter(|(_, record)| record.has_free_slot() && !record.health.is_avoided(now));
         free.map(|(_, record)| self.choice_of(record))
     }
 
-    /// The target of a request for which nobody granted a place: the least loaded own one, or any that is
-    /// looked at. Nothing is counted there before [`take`](Self::take).
+    /// Selects a target for a request that was not granted a slot: the least loaded own target,
+    /// else the least loaded of all. Nothing is counted before [`take`](Self::take).
     pub fn pick(
         &self,
         query: &TargetQuery<'_>,
@@ -201,18 +206,18 @@
         mut draw: impl FnMut() -> f64,
     ) -> Option<TargetChoice> {
         let own = self.best_record(query, now, OWN_ONLY, &mut draw);
-        // Before a request is turned away every target is looked at.
+        // Consider every target before the request is rejected.
         let (_, record) = own.or_else(|| self.best_record(query, now, 1.0, &mut draw))?;
         Some(self.choice_of(record))
     }
 
-    /// Counts a request at the target that was picked for it, until [`finish`](Self::finish); `None` when the
-    /// target doesn't take it any more.
+    /// Counts a request at the target selected for it, until [`finish`](Self::finish). Returns
+    /// `None` if the target is no longer known.
     pub fn take(&mut self, query: &TargetQuery<'_>, choice: TargetChoice) -> Option<TargetChoice> {
         let record = self.records.get_mut(&choice.id)?;
         record.own.add(query.work);
         record.health.start();
-        self.warm.note(query.prompt, &choice.id);
+        self.prefix_cache.note(query.prompt, &choice.id);
         Some(choice)
     }
 
@@ -222,7 +227,7 @@
             id: id.clone(),
             name: record.entry.name.clone(),
             address: record.entry.address,
-            has_free_slot: record.has_place(),
+            has_free_slot: record.has_free_slot(),
             own_load: record.own.total(),
             reported_load: record.others.total(),
             is_home: self.homes.is_shared() && self.homes.is_own(id),
@@ -231,18 +236,18 @@
         }
     }
 
-    /// The target with the lowest score; of the other gateways' home targets only a share is looked
-    /// at.
+    /// Returns the target with the lowest score. Of the remote targets, only a random fraction is
+    /// considered.
     fn best_record(
         &self,
         query: &TargetQuery<'_>,
         now: MonoTime,
-        foreign_share: f64,
+        remote_share: f64,
         draw: &mut impl FnMut() -> f64,
     ) -> Option<(f64, &TargetRecord)> {
         let TargetQuery { service, work, avoid, queue, prompt } = *query;
-        let warm = self.warm.warm_tokens(prompt);
-        let pace = self.latency(service);
+        let cached = self.prefix_cache.cached_tokens(prompt);
+        let latency = self.latency(service);
         let mut best: Option<(f64, &TargetRecord)> = None;
         let mut fallback: Option<(f64, &TargetRecord)> = None;
         for record in self.records.values() {
@@ -250,18 +255,18 @@
                 continue;
             }
             let is_home = self.homes.is_own(&record.entry.id);
-            if work == WorkKind::Batch && !record.has_batch_place(is_home) {
+            if work == WorkKind::Batch && !record.has_batch_slot(is_home) {
                 continue;
             }
-            if work == WorkKind::Online && !record.is_in_time(queue, &pace) {
+            if work == WorkKind::Online && !record.is_in_time(queue, &latency) {
                 continue;
             }
-            if !is_home && draw() > foreign_share {
+            if !is_home && draw() > remote_share {
                 continue;
             }
-            let read = warm.get(record.entry.id.as_str()).copied().unwrap_or_default();
-            let score = record.score(&self.domain, is_home, now) - record.warmth(read)
-                + draw() * TIE_SPREAD;
+            let read = cached.get(record.entry.id.as_str()).copied().unwrap_or_default();
+            let score = record.score(&self.domain, is_home, now) - record.cache_bonus(read)
+                + draw() * TIE_BREAK_RANGE;
             let slot = if record.health.is_avoided(now) { &mut fallback } else { &mut best };
             if slot.is_none_or(|(lowest, _)| score < lowest) {
                 *slot = Some((score, record));
@@ -273,17 +278,19 @@
         best.or(fallback)
     }
 
-    /// A whole online answer of `service` took `run`, and began after `first` where a place was free.
+    /// Records a complete online answer of `service` that took `run` in total and, if a slot was
+    /// free, `first` to its first event.
     pub fn note_online_run(&mut self, service: &str, run: Duration, first: Option<Duration>) {
-        self.paces.entry(service.to_owned()).or_default().note(run, first);
+        self.latencies.entry(service.to_owned()).or_default().note(run, first);
     }
 
-    /// How long answers of `service` take.
+    /// Learned latency of `service`.
     pub fn latency(&self, service: &str) -> ServiceLatency {
-        self.paces.get(service).copied().unwrap_or_default()
+        self.latencies.get(service).copied().unwrap_or_default()
     }
 
-    /// An attempt at `id` ended: with an answer, or in a way that says nothing (`None`).
+    /// Records the end of an attempt at `id`. An `outcome` of `None` gives no indication of the
+    /// target's health.
     pub fn finish(
         &mut self,
         id: &str,
@@ -292,10 +299,10 @@
         now: MonoTime,
     ) {
         let Some(record) = self.records.get_mut(id) else {
-            if let Some(leftover) = self.leftovers.get_mut(id) {
-                leftover.own.remove(work);
-                if leftover.own.total() == 0 {
-                    self.leftovers.remove(id);
+            if let Some(orphaned) = self.orphaned_uses.get_mut(id) {
+                orphaned.own.remove(work);
+                if orphaned.own.total() == 0 {
+                    self.orphaned_uses.remove(id);
                 }
             }
             return;
@@ -303,52 +310,54 @@
         record.own.remove(work);
         match outcome {
             Some(Ok(())) => record.health.succeed(),
-            Some(Err(AttemptFailure::OtherTarget)) => record.displaced = true,
-            Some(Err(failure)) if failure.blames_target() => {
-                record.health.fail(failure.is_silence(), now);
+            Some(Err(AttemptFailure::OtherTarget)) => record.address_reused = true,
+            Some(Err(failure)) if failure.is_target_fault() => {
+                record.health.fail(failure.is_unresponsive(), now);
             }
             Some(Err(_)) | None => record.health.forget_probe(),
         }
     }
 
-    /// Targets that a liveness probe should go to at `now`; again only after the next failure or
-    /// [`note_silence`](Self::note_silence).
+    /// Targets to which a liveness probe should be sent at `now`. A target is returned again only
+    /// after its next failure or [`note_silence`](Self::note_silence).
     pub fn silent_targets(&self, now: MonoTime) -> Vec<(String, SocketAddr)> {
         let silent = self.records.values().filter(|record| record.health.needs_liveness_probe(now));
         silent.map(|record| (record.entry.id.clone(), record.entry.address)).collect()
     }
 
-    /// A target answered a liveness probe.
+    /// Records that a target answered a liveness probe.
     pub fn note_liveness(&mut self, id: &str) {
         if let Some(record) = self.records.get_mut(id) {
             record.health.note_liveness();
         }
     }
 
-    /// A target did not answer a liveness probe: another one follows later.
+    /// Records that a target did not answer a liveness probe; another one follows later.
     pub fn note_silence(&mut self, id: &str, now: MonoTime) {
         if let Some(record) = self.records.get_mut(id) {
             record.health.fail(true, now);
         }
     }
 
-    /// A target answered the head of a request: it is alive.
+    /// Records that a target is alive because it sent the head of an answer.
     pub fn note_alive(&mut self, id: &str) {
         if let Some(record) = self.records.get_mut(id) {
             record.health.succeed();
         }
     }
 
-    /// This gateway's use of every target it uses, for the other gateways.
+    /// This gateway's use of each target, as reported to the other gateways.
     pub fn own_uses(&self) -> impl Iterator<Item = (&str, TargetUse)> {
         let records = self.records.iter().map(|(id, record)| (id.as_str(), record.own));
-        // A start that is over holds no places, however long its requests here take to end.
-        let leftovers = self.leftovers.iter().filter(|(_, leftover)| !leftover.has_restarted);
-        let leftovers = leftovers.map(|(id, leftover)| (id.as_str(), leftover.own));
-        records.chain(leftovers).filter(|(_, own)| own.total() > 0)
+        // An ended incarnation occupies no slots, however long its requests take to end here.
+        let orphaned_uses =
+            self.orphaned_uses.iter().filter(|(_, orphaned)| !orphaned.has_restarted);
+        let orphaned_uses = orphaned_uses.map(|(id, orphaned)| (id.as_str(), orphaned.own));
+        records.chain(orphaned_uses).filter(|(_, own)| own.total() > 0)
     }
 
-    /// Another gateway's use of targets, whole: what isn't named there isn't used by it.
+    /// Replaces another gateway's report of its target use. The report is complete: targets not in
+    /// it are not used by that gateway.
     pub fn take_report(&mut self, peer: &VmName, uses: FastMap<String, TargetUse>, now: MonoTime) {
         self.drop_report(peer);
         for (id, reported) in &uses {
@@ -360,7 +369,8 @@
         self.reports.insert(peer.clone(), PeerReport { at: now, uses });
     }
 
-    /// Forgets reports of gateways that were not heard of for long: a dead one holds no places.
+    /// Drops the reports of gateways that have not been heard from for too long: a dead gateway
+    /// occupies no slots.
     pub fn expire_reports(&mut self, now: MonoTime) {
         let old = self.reports.iter().filter(|(_, r)| now.since(r.at) > REPORT_LIFETIME);
         let old: Vec<VmName> = old.map(|(peer, _)| peer.clone()).collect();
@@ -369,29 +379,30 @@
         }
     }
 
-    /// How many of this gateway's items at `id` should be broken off, because online requests wait
-    /// there behind items. Each gateway with items there takes its share, as a chance where it's a
-    /// fraction, so that together they don't break off more than wait.
+    /// Number of this gateway's items at `id` to preempt because online requests queue behind
+    /// items. Each gateway with items there takes a proportional share, rounding fractions at
+    /// random, so that together they do not preempt more items than requests are queued.
     pub fn items_to_preempt(&self, id: &str, mut draw: impl FnMut() -> f64) -> u32 {
         let Some(record) = self.records.get(id) else { return 0 };
         let waiting = record.total().saturating_sub(record.entry.slots);
         let items = record.own.batch + record.others.batch;
-        if waiting <= PREEMPT_QUEUE || items == 0 {
+        if waiting <= PREEMPTION_QUEUE_LIMIT || items == 0 {
             return 0;
         }
         let share = f64::from(waiting.min(items)) * f64::from(record.own.batch) / f64::from(items);
         (share + draw()) as u32
     }
 
-    /// Shares targets out: those at home here are preferred here. All gateways do the same with the
-    /// same names, so they mostly choose among different targets, whose load each knows exactly;
-    /// reports of the others' use come a tenth of a second late. `gateways` are all that are alive,
-    /// this one among them, each with its failure domain.
+    /// Assigns targets to home gateways; a gateway prefers the targets that it is the home of. All
+    /// gateways compute the same assignment from the same names, so they mostly select among
+    /// different targets, whose load each knows exactly, whereas reports of the others' use arrive
+    /// a tenth of a second late. `gateways` lists all live gateways including this one, each with
+    /// its failure domain.
     pub fn assign_homes(&mut self, own: &str, gateways: &[(String, String)]) {
         let entries = self.records.values().map(|record| &record.entry);
         let targets = entries.map(|entry| (entry.id.as_str(), entry.domain.as_str()));
-        self.homes.divide(own, targets.collect(), gateways);
-        self.foreign_share = FOREIGN_CHOICES / gateways.len().max(1) as f64;
+        self.homes.assign(own, targets.collect(), gateways);
+        self.remote_share = REMOTE_GATEWAYS_SAMPLED / gateways.len().max(1) as f64;
     }
 
     fn drop_report(&mut self, peer: &VmName) {
--- a/crates/relay/src/targets/table/admission.rs
+++ b/crates/relay/src/targets/table/admission.rs
@@ -1,38 +1,42 @@
-//! Places at a gateway's own targets, granted to others or yielded by items, and whom to ask for others'.
+//! Granting of slots at own targets, preemption of items, and selection of the home gateway to ask
+//! for a slot.
 
 use notch_types::prelude::*;
 
 use crate::targets::{
     choice::{QueueLimit, TargetChoice, TargetQuery, WorkKind},
-    places::{PreemptedItem, QueueOffer, SlotGrant},
+    grants::{PreemptedItem, QueueOffer, SlotGrant},
     record::{TargetRecord, UseChange},
     table::{PeerReport, TargetTable},
 };
 
-/// Spread of the random choice among gateways that are asked for a place, in requests: all whose own targets
-/// are full ask at that moment, and one that all ask first has nothing left for most of them.
-const ASK_SPREAD: f64 = 4.0;
-/// Added to the load of a target without a free place, as far as is known, in requests: its home is asked
-/// after all others.
+/// Range of the random choice among gateways that are asked for a slot, in requests. All gateways
+/// whose own targets are full ask at the same moment, and a gateway that all of them asked first
+/// would have nothing left for most of them.
+const ASK_RANDOM_RANGE: f64 = 4.0;
+/// Load penalty, in requests, of a target without a known free slot, so that its home gateway is
+/// asked after all others.
 const FULL_PENALTY: f64 = 100.0;
 
 impl TargetTable {
-    /// A place at one of this gateway's own targets that an item has to yield, and whose item.
-    pub fn pick_yielding(
+    /// Selects a slot at an own target that is freed by preempting an item, and returns the item's
+    /// owner.
+    pub fn pick_preemptible(
         &mut self,
         query: &TargetQuery<'_>,
         now: MonoTime,
     ) -> Option<(TargetChoice, PreemptedItem)> {
-        let record = self.yielding_record(query.service, query.avoid, now)?;
+        let record = self.preemptible_record(query.service, query.avoid, now)?;
         let choice = self.choice_of(record);
         let preempted = self.revoke_item(&choice.id, now)?;
         Some((choice, preempted))
     }
 
-    /// The gateway to ask for a place: one that has places as far as is known, else any that may have one
-    /// that an item yields.
+    /// Selects the gateway to ask for a slot: one with free slots as far as is known, else, if
+    /// `may_displace`, one that may free a slot by preempting an item.
     ///
-    /// Load pattern: a crest in which a gateway's own targets are full and a tenth of all places is free.
+    /// It is designed for peaks in which a gateway's own targets are full while a tenth of all
+    /// slots is free.
     pub fn home_to_ask(
         &self,
         query: &TargetQuery<'_>,
@@ -48,11 +52,11 @@
                 && !record.health.is_avoided(now)
                 && !query.avoid.contains(id)
                 && self.homes.may_ask(home, now);
-            if !is_able || !(record.has_place() || may_displace) {
+            if !is_able || !(record.has_free_slot() || may_displace) {
                 continue;
             }
-            let full = if record.has_place() { 0.0 } else { FULL_PENALTY };
-            let score = record.score(&self.domain, false, now) + full + draw() * ASK_SPREAD;
+            let full = if record.has_free_slot() { 0.0 } else { FULL_PENALTY };
+            let score = record.score(&self.domain, false, now) + full + draw() * ASK_RANDOM_RANGE;
             if best.is_none_or(|(lowest, _)| score < lowest) {
                 best = Some((score, home));
             }
@@ -60,8 +64,8 @@
         best.map(|(_, home)| home.clone())
     }
 
-    /// Counts a request at the target `id` whose home granted a place there; `None` when the target isn't
-    /// used here any more.
+    /// Counts a request at target `id`, at which its home gateway granted a slot. Returns `None` if
+    /// the target is no longer used here.
     pub fn take_granted(&mut self, query: &TargetQuery<'_>, id: &str) -> Option<TargetChoice> {
         let record = self.records.get(id)?;
         if !record.takes(query.service) {
@@ -72,10 +76,11 @@
         self.take(query, choice)
     }
 
-    /// Grants another gateway a place at one of this gateway's targets, and counts it there.
+    /// Grants another gateway a slot at an own target and counts it there.
     ///
-    /// Load pattern: crests in which nine tenths of all places are taken. Every gateway whose own targets
-    /// are full looks for the few free places; only the home of a target knows at once which are gone.
+    /// It is designed for peaks in which nine tenths of all slots are in use. Every gateway whose
+    /// own targets are full looks for the few free slots, and only the home gateway of a target
+    /// knows at once which of them are taken.
     pub fn grant(
         &mut self,
         peer: &VmName,
@@ -84,14 +89,14 @@
         now: MonoTime,
     ) -> Option<SlotGrant> {
         let TargetQuery { service, avoid, .. } = *query;
-        let able = self.own_records(service, avoid, now).filter(|record| record.has_place());
+        let able = self.own_records(service, avoid, now).filter(|record| record.has_free_slot());
         let load = |record: &TargetRecord| record.score(&self.domain, true, now);
         let free = able.min_by(|a, b| load(a).total_cmp(&load(b)));
         let free = free.map(|record| SlotGrant { id: record.entry.id.clone(), preempted: None });
         let grant = match free {
             Some(grant) => grant,
             None if may_displace => {
-                let id = self.yielding_record(service, avoid, now)?.entry.id.clone();
+                let id = self.preemptible_record(service, avoid, now)?.entry.id.clone();
                 let preempted = Some(self.revoke_item(&id, now)?);
                 SlotGrant { id, preempted }
             }
@@ -108,8 +113,8 @@
         Some(QueueOffer { id: best.entry.id.clone(), waiting: best.waiting() })
     }
 
-    /// A queue that another gateway offered, where a request likely is in time and waits behind fewer than at
-    /// the own targets.
+    /// Selects a queue offered by another gateway, if the request is likely to be served in time
+    /// there and has fewer requests ahead of it than at any own target.
     pub fn pick_offered(
         &self,
         query: &TargetQuery<'_>,
@@ -119,16 +124,16 @@
         let own = self.shortest_queue(query, now).map_or(u32::MAX, |own| own.waiting);
         let record = self.records.get(&offer.id).filter(|record| record.takes(query.service))?;
         let ahead = record.entry.slots + offer.waiting;
-        let pace = self.latency(query.service);
+        let stats = self.latency(query.service);
         let is_in_time = match query.queue {
             QueueLimit::Any => true,
-            QueueLimit::Within(objective) => pace.is_in_time(ahead, record.entry.slots, objective),
+            QueueLimit::Within(objective) => stats.is_in_time(ahead, record.entry.slots, objective),
         };
         let is_shorter = offer.waiting < own && is_in_time;
         is_shorter.then(|| TargetChoice { has_free_slot: false, ..self.choice_of(record) })
     }
 
-    /// This gateway's own targets that take requests of a service.
+    /// Own targets that accept requests for a service.
     fn own_records(
         &self,
         service: &str,
@@ -143,8 +148,8 @@
         })
     }
 
-    /// The own target with fewest online requests at which items have the last places.
-    fn yielding_record(
+    /// The own target with the fewest online requests among those where items occupy slots.
+    fn preemptible_record(
         &self,
         service: &str,
         avoid: &[String],
@@ -157,8 +162,8 @@
         able.min_by_key(|record| online(record))
     }
 
-    /// Decides whose item yields its place at an own target: one of this gateway's, else one of the
-    /// gateway with most items there, which isn't counted from now on.
+    /// Selects the owner of the item to preempt at an own target: this gateway if it has items
+    /// there, else the gateway with the most items there, whose use is reduced at once.
     fn revoke_item(&mut self, id: &str, now: MonoTime) -> Option<PreemptedItem> {
         if self.records.get(id)?.own.batch > 0 {
             return Some(PreemptedItem::Own);
@@ -171,7 +176,8 @@
         Some(PreemptedItem::Peer(peer))
     }
 
-    /// Another gateway began or ended a request at a target. Its next report tells the same again.
+    /// Records that another gateway began or ended a request at a target. Its next report includes
+    /// the change.
     pub fn note_peer_use(
         &mut self,
         peer: &VmName,
@@ -197,7 +203,7 @@
         }
     }
 
-    /// A gateway isn't asked for places until `until`.
+    /// Excludes a gateway from slot requests until `until`.
     pub fn note_denied(&mut self, home: &VmName, until: MonoTime) {
         self.homes.note_denied(home, until);
     }
--- a/crates/relay/tests/places.rs
+++ b/crates/relay/tests/places.rs
@@ -114,7 +114,7 @@
     let preempted = |grant: Option<SlotGrant>| grant.and_then(|grant| grant.preempted);
     let of = |peer: &str| Some(PreemptedItem::Peer(VmName::new(peer)));
     assert_eq!(preempted(grant(&mut home, "g4", true)), of("g3"), "it has most items there");
-    let (_, own) = home.pick_yielding(&online(), NOW).expect("items yield to own requests, too");
+    let (_, own) = home.pick_preemptible(&online(), NOW).expect("items yield to own requests, too");
     assert!([of("g2"), of("g3")].contains(&Some(own)));
 }
 
