--- a/crates/entry/src/batch/limit_asks.rs
+++ b/crates/entry/src/batch/limit_asks.rs
@@ -70,9 +70,7 @@
     let mut per_second = node.limits.ended_per_second(route, node.clock.mono());
     for answer in answers.into_iter().flatten() {
         per_second += answer.ended_per_second as f64;
-        with_holder(node, route, |holder, _| {
-            holder.note_released(&answer.holder, answer.kept, revision)
-        });
+        with_holder(node, route, |holder, _| holder.lowered(&answer.holder, answer.kept, revision));
     }
     AskedShares { revision, per_second }
 }
@@ -107,7 +105,7 @@
         let owns = jobs.iter().any(|job| !job.status.closed && job.owner() == gone);
         if !owns {
             node.log.info("share_lapsed", &[("route", &route), ("holder", &gone)]);
-            with_holder(node, route, |holder, _| holder.note_released(&gone, 0, revision));
+            with_holder(node, route, |holder, _| holder.lowered(&gone, 0, revision));
         }
     }
 }
--- a/crates/entry/src/online/places.rs
+++ b/crates/entry/src/online/places.rs
@@ -22,13 +22,13 @@
         let now = node.clock.mono();
         let step = search.next_step(&mut node.targets(), query, now, EntryNode::draw)?;
         match step {
-            SlotSearchStep::Take(choice, yields) => {
+            SearchStep::Take(choice, yields) => {
                 if let Some(yields) = yields {
                     revoke(node, &choice.id, &yields);
                 }
                 return Some(choice);
             }
-            SlotSearchStep::Ask { home, may_displace } => {
+            SearchStep::Ask { home, may_displace } => {
                 let granted = ask(node, search, &home, query, may_displace).await;
                 if granted.is_some() {
                     return granted;
--- a/crates/lab/src/world/online.rs
+++ b/crates/lab/src/world/online.rs
@@ -73,15 +73,13 @@
         let step = search.next_step(table, &query, now, || random.random());
         self.requests[request].search = search;
         match step {
-            Some(SlotSearchStep::Take(choice, yields)) => {
+            Some(SearchStep::Take(choice, yields)) => {
                 if let Some(yields) = yields {
                     self.revoke(gateway, &choice.id, &yields);
                 }
                 self.send(request, &choice);
             }
-            Some(SlotSearchStep::Ask { home, may_displace }) => {
-                self.ask(request, &home, may_displace)
-            }
+            Some(SearchStep::Ask { home, may_displace }) => self.ask(request, &home, may_displace),
             None => self.outcome.refused += 1,
         }
     }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -66,7 +66,7 @@
             prompt::{PromptPrefix, PromptPrefixes},
             record::{TargetUse, UseChange},
             retry_detector::RetryDetector,
-            slot_search::{SlotSearch, SlotSearchStep},
+            slot_search::{SearchStep, SlotSearch},
             table::TargetTable,
         },
     };
--- a/crates/relay/src/limits/holder.rs
+++ b/crates/relay/src/limits/holder.rs
@@ -244,7 +244,7 @@
     }
 
     /// Another holder gave back all above `lent`, after `revision` of the table was known here.
-    pub fn note_released(&mut self, holder: &str, lent: u64, revision: Option<u64>) {
+    pub fn lowered(&mut self, holder: &str, lent: u64, revision: Option<u64>) {
         // A table of a later revision may hold a share that it took after that.
         if self.revision == revision {
             self.table.give_back(holder, lent);
--- a/crates/relay/src/targets/slot_search.rs
+++ b/crates/relay/src/targets/slot_search.rs
@@ -27,7 +27,7 @@
 
 /// Next step of a slot search.
 #[derive(Debug, PartialEq, Eq)]
-pub enum SlotSearchStep {
+pub enum SearchStep {
     /// The request is counted at this target. If an item has to be preempted there, its owner is
     /// given.
     Take(TargetChoice, Option<PreemptedItem>),
@@ -64,9 +64,9 @@
         query: &TargetQuery<'_>,
         now: MonoTime,
         mut draw: impl FnMut() -> f64,
-    ) -> Option<SlotSearchStep> {
+    ) -> Option<SearchStep> {
         if let Some(own) = targets.pick_own(query, now, &mut draw) {
-            return targets.take(query, own).map(|choice| SlotSearchStep::Take(choice, None));
+            return targets.take(query, own).map(|choice| SearchStep::Take(choice, None));
         }
         if let Some(ask) =
             self.ask(targets, query, MAX_REQUESTS_BEFORE_PREEMPTION, false, now, &mut draw)
@@ -75,7 +75,7 @@
         }
         if let Some((own, preempted)) = targets.pick_preemptible(query, now) {
             let choice = targets.take(query, TargetChoice { has_free_slot: true, ..own })?;
-            return Some(SlotSearchStep::Take(choice, Some(preempted)));
+            return Some(SearchStep::Take(choice, Some(preempted)));
         }
         if let Some(ask) = self.ask(targets, query, MAX_SLOT_REQUESTS, true, now, &mut draw) {
             return Some(ask);
@@ -90,7 +90,7 @@
         })?;
         let choice = targets.take(query, pick)?;
         let preempted = (!choice.has_free_slot).then_some(PreemptedItem::Own);
-        Some(SlotSearchStep::Take(choice, preempted))
+        Some(SearchStep::Take(choice, preempted))
     }
 
     fn ask(
@@ -101,13 +101,13 @@
         may_displace: bool,
         now: MonoTime,
         draw: &mut impl FnMut() -> f64,
-    ) -> Option<SlotSearchStep> {
+    ) -> Option<SearchStep> {
         if self.asks >= max_asks {
             return None;
         }
         let home = targets.home_to_ask(query, may_displace, now, draw)?;
         self.asks += 1;
-        Some(SlotSearchStep::Ask { home, may_displace })
+        Some(SearchStep::Ask { home, may_displace })
     }
 
     /// Records that a home gateway has no slot but offers a queue.
--- a/crates/relay/tests/limit_writes.rs
+++ b/crates/relay/tests/limit_writes.rs
@@ -46,7 +46,7 @@
     fleet.used[1] = 100;
     let kept = fleet.holders[1].release_unused(fleet.used[1]);
     let holder = &mut fleet.holders[0];
-    holder.note_released("g-1#1", kept, holder.revision());
+    holder.lowered("g-1#1", kept, holder.revision());
     assert!(fleet.stored.write(&proposal));
     holder.written(proposal, fleet.stored.revision.unwrap_or(0));
     assert_eq!(holder.availability(0, 900, 1_000, true), ShareAvailability::Free);
--- a/crates/relay/tests/limits.rs
+++ b/crates/relay/tests/limits.rs
@@ -108,7 +108,7 @@
     assert_eq!(holder.silent_holders(|_| true, patience, at(7_000)), Vec::<String>::new());
     assert_eq!(holder.silent_holders(|_| false, patience, at(8_000)), Vec::<String>::new());
     assert_eq!(holder.silent_holders(|_| false, patience, at(13_000)), ["g-0#1"]);
-    holder.note_released("g-0#1", 0, holder.revision());
+    holder.lowered("g-0#1", 0, holder.revision());
     assert_eq!(fleet.admit(1, 9_900, &[false, true], true), Admission::Admitted);
 }
 
@@ -127,7 +127,7 @@
     assert_eq!(fleet.admit(0, 800, &[true; 2], true), Admission::Admitted);
     let holder = &mut fleet.holders[1];
     holder.adopt(fleet.stored.table.clone(), fleet.stored.revision.unwrap_or(0));
-    holder.note_released("g-0#1", kept, asked_at);
+    holder.lowered("g-0#1", kept, asked_at);
     assert!(matches!(holder.step(0, 500, 1_000, 2, true), ShareStep::Full { .. }));
 }
 
--- a/crates/relay/tests/support/mod.rs
+++ b/crates/relay/tests/support/mod.rs
@@ -85,7 +85,7 @@
                     let revision = holder.revision();
                     for other in (0..self.holders.len()).filter(|n| *n != at && links[*n]) {
                         let kept = self.holders[other].release_unused(self.used[other]);
-                        self.holders[at].note_released(&format!("g-{other}#1"), kept, revision);
+                        self.holders[at].lowered(&format!("g-{other}#1"), kept, revision);
                     }
                 }
             }
@@ -149,7 +149,7 @@
         let revision = self.holders[at].revision();
         for other in (0..self.holders.len()).filter(|n| *n != at) {
             let kept = self.holders[other].release_unused(self.used[other]);
-            self.holders[at].note_released(&format!("g-{other}#1"), kept, revision);
+            self.holders[at].lowered(&format!("g-{other}#1"), kept, revision);
         }
     }
 }
