--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -86,9 +86,9 @@
     target_feed: Mutex<TargetFeed>,
     jobs: Mutex<JobDesk>,
     crashes: Mutex<CrashTable>,
-    patience: Mutex<PatienceTable>,
+    patience: Mutex<RetryDetector>,
     dropped_routes: Mutex<DroppedRoutes>,
-    intake: Mutex<IntakeTable>,
+    intake: Mutex<JobAdmissionTable>,
 }
 
 impl EntryNode {
@@ -161,7 +161,7 @@
     }
 
     /// How long clients wait.
-    pub fn patience(&self) -> MutexGuard<'_, PatienceTable> {
+    pub fn patience(&self) -> MutexGuard<'_, RetryDetector> {
         self.patience.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -171,7 +171,7 @@
     }
 
     /// What is known of work and places when a job comes.
-    pub fn intake(&self) -> MutexGuard<'_, IntakeTable> {
+    pub fn intake(&self) -> MutexGuard<'_, JobAdmissionTable> {
         self.intake.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/crates/relay/src/intake/forecast.rs
+++ b/crates/relay/src/intake/forecast.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     intake::demand::{DueWork, WorkDemand},
-    limits::drain::wait_for,
+    limits::drain::retry_delay,
 };
 
 /// Times what the places are thought to do that may wait. What is known of places and of items' times is off
@@ -23,14 +23,14 @@
 
 /// What is known when a job comes.
 #[derive(Debug, Clone, Copy)]
-pub struct IntakeForecast<'a> {
+pub struct JobAdmissionForecast<'a> {
     /// What waits before it, at all gateways.
     pub demand: &'a WorkDemand,
     /// Places that items find, in the mean; of those, what this gateway may fill.
     pub places: f64,
 }
 
-impl IntakeForecast<'_> {
+impl JobAdmissionForecast<'_> {
     /// When the job should come back, if it can't be done in time beside what was accepted before; `None`
     /// when it may be.
     ///
@@ -49,7 +49,7 @@
             missing = missing.max(ahead.saturating_sub(self.within(waiting.due, now)));
         }
         let missing = u64::try_from(missing.as_millis()).unwrap_or(u64::MAX);
-        (missing > 0).then(|| wait_for(missing, self.places * MILLIS_PER_SECOND))
+        (missing > 0).then(|| retry_delay(missing, self.places * MILLIS_PER_SECOND))
     }
 
     /// What may be done until `due`.
--- a/crates/relay/src/intake/table.rs
+++ b/crates/relay/src/intake/table.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     intake::{demand::WorkDemand, place_mean::PlaceMean},
-    jobs::pace::{ItemPace, PaceFigures},
+    jobs::pace::{ItemRunTime, ItemRunTimeStats},
 };
 
 /// What another gateway tells counts for this long; it is told anew at least twice as often.
@@ -21,12 +21,12 @@
     at: MonoTime,
     /// By service.
     demands: FastMap<String, WorkDemand>,
-    pace: PaceFigures,
+    pace: ItemRunTimeStats,
 }
 
 /// Work at the other gateways, and places that items find.
 #[derive(Debug, Default)]
-pub struct IntakeTable {
+pub struct JobAdmissionTable {
     peers: FastMap<VmName, PeerDemand>,
     /// By service.
     places: FastMap<String, PlaceMean>,
@@ -34,20 +34,20 @@
     logged_at: Option<MonoTime>,
 }
 
-impl IntakeTable {
+impl JobAdmissionTable {
     /// Another gateway tells what waits there, whole, and how long items take.
     pub fn take_demand(
         &mut self,
         peer: &VmName,
         demands: FastMap<String, WorkDemand>,
-        pace: PaceFigures,
+        pace: ItemRunTimeStats,
         now: MonoTime,
     ) {
         self.peers.insert(peer.clone(), PeerDemand { at: now, demands, pace });
     }
 
     /// So many places of a service are left to items now.
-    pub fn note_places(&mut self, service: &str, places: u32, now: MonoTime) {
+    pub fn record_slots(&mut self, service: &str, places: u32, now: MonoTime) {
         match self.places.get_mut(service) {
             Some(mean) => mean.note(places, now),
             None => {
@@ -68,14 +68,14 @@
     }
 
     /// Places of a service that items find, in the mean; 0 when nothing is known.
-    pub fn places(&self, service: &str) -> f64 {
+    pub fn mean_free_slots(&self, service: &str) -> f64 {
         self.places.get(service).map_or(0.0, PlaceMean::value)
     }
 
     /// How long items take at all gateways, this one among them.
-    pub fn pace(&self, own: PaceFigures) -> ItemPace {
+    pub fn run_time(&self, own: ItemRunTimeStats) -> ItemRunTime {
         let told = self.peers.values().map(|peer| peer.pace);
-        ItemPace::mean_of(told.chain([own]))
+        ItemRunTime::mean_of(told.chain([own]))
     }
 
     /// Whether a refusal may be logged now; counts it as logged.
@@ -88,7 +88,7 @@
     }
 
     /// Age of the oldest word that counts.
-    pub fn oldest(&self, now: MonoTime) -> Duration {
+    pub fn oldest_report_age(&self, now: MonoTime) -> Duration {
         self.peers.values().map(|peer| now.since(peer.at)).max().unwrap_or_default()
     }
 }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -4,9 +4,9 @@
 //! Nothing here does I/O or reads a clock.
 
 pub mod accounts;
+mod ewma;
 pub mod intake;
 pub mod jobs;
-mod learned;
 pub mod limits;
 pub mod routes;
 pub mod stream;
@@ -24,25 +24,25 @@
             limiter::{CreditAnswer, CreditHandover, LimiterTable},
             quota::QuotaTolerance,
             table::{AccountTable, CallerIdentity, may_access},
-            view::{LimiterView, PeerCensus},
+            view::{LimiterView, PeerCounts},
         },
         intake::{
             demand::{DueWork, WorkDemand},
-            forecast::IntakeForecast,
-            table::IntakeTable,
+            forecast::JobAdmissionForecast,
+            table::JobAdmissionTable,
         },
         jobs::{
-            board::{ItemStart, JobBoard},
-            doubt::DoubtNumber,
+            board::{ItemStart, JobTable},
+            doubt::OwnershipGeneration,
             owned::{HeldProgress, ItemEnd, OwnedJob},
-            pace::{ItemPace, PaceFigures},
+            pace::{ItemRunTime, ItemRunTimeStats},
             result::{ItemState, ResultLine},
             spec::{AnswerSize, ItemSpec, JobSpec, JobTerms, limit_name},
         },
         limits::{
-            count::{CountPace, RoomCount},
+            count::{LimitCount, LimitCountThrottle},
             drain::DrainRate,
-            holder::{ShareHolder, ShareProposal, ShareRoom, ShareStep},
+            holder::{ShareAvailability, ShareHolder, ShareProposal, ShareStep},
             table::{HolderShare, ShareTable},
             waiting_limit::WaitingLimit,
         },
@@ -61,12 +61,12 @@
             crashes::CrashTable,
             entry::{TargetEntry, TargetState},
             failure::{AttemptFailure, RunVerdict},
-            pace::ServicePace,
-            patience::PatienceTable,
-            places::{ItemYield, PlaceGrant, QueueOffer},
-            prompt::{PromptHead, PromptHeads},
+            grants::{PreemptedItem, QueueOffer, SlotGrant},
+            latency::ServiceLatency,
+            prompt::{PromptPrefix, PromptPrefixes},
             record::{TargetUse, UseChange},
-            search::{PlaceSearch, PlaceStep},
+            retry_detector::RetryDetector,
+            slot_search::{SearchStep, SlotSearch},
             table::TargetTable,
         },
     };
