--- a/crates/catalogue/src/schema/account.rs
+++ b/crates/catalogue/src/schema/account.rs
@@ -1,6 +1,6 @@
 //! Entries of callers' accounts.
 
-use notch_types::account::WorkClass;
+use notch_types::class::WorkClass;
 
 use super::{fault::FaultKind, reader::FieldReader};
 
--- a/crates/catalogue/src/schema/target.rs
+++ b/crates/catalogue/src/schema/target.rs
@@ -1,6 +1,6 @@
 //! Entries of models and plain services.
 
-use notch_types::account::TargetKind;
+use notch_types::class::TargetKind;
 
 use super::{fault::FaultKind, reader::FieldReader};
 
--- a/crates/catalogue/tests/schema.rs
+++ b/crates/catalogue/tests/schema.rs
@@ -5,7 +5,7 @@
     object_key,
 };
 use notch_messages::entry::{EntryKey, EntryKind, EntryRecord};
-use notch_types::{account::TargetKind, prelude::*};
+use notch_types::{class::TargetKind, prelude::*};
 use proptest::{prelude::*, test_runner::RngSeed};
 use rstest::rstest;
 
--- a/crates/entry/src/batch/intake.rs
+++ b/crates/entry/src/batch/intake.rs
@@ -70,7 +70,7 @@
     account: &str,
     arrived: MonoTime,
 ) -> OwnAnswer {
-    let Some(id) = RequestTerms::decode(&head.headers).attempt.filter(|id| is_name(id)) else {
+    let Some(id) = RequestHeaders::decode(&head.headers).attempt.filter(|id| is_name(id)) else {
         return answer(node, "-", "no_id", OwnAnswer::of(400), arrived);
     };
     if is_taken(node, id, arrived).await {
--- a/crates/entry/src/front/connection.rs
+++ b/crates/entry/src/front/connection.rs
@@ -8,7 +8,7 @@
     pin_mut,
 };
 use notch_h1::prelude::*;
-use notch_platform_wire::{client::own_answer, prelude::*};
+use notch_platform_wire::{client::gateway_answer, prelude::*};
 use notch_relay::prelude::*;
 use notch_types::prelude::*;
 
@@ -135,7 +135,7 @@
         body: Vec<u8>,
         arrived: MonoTime,
     ) -> Routed {
-        let attempt = RequestTerms::decode(&head.headers).attempt.map(str::to_owned);
+        let attempt = RequestHeaders::decode(&head.headers).attempt.map(str::to_owned);
         let Some(routes) = routes else {
             self.log_refusal(attempt.as_deref(), "no_configuration", 503);
             return Routed::Answer(OwnAnswer::refused(RETRY_AFTER_START), attempt);
@@ -247,7 +247,7 @@
     }
 
     async fn write(&mut self, answer: &OwnAnswer, attempt: Option<&str>, keep: bool) -> bool {
-        let mut writer = own_answer(answer.status, attempt, answer.retry_after);
+        let mut writer = gateway_answer(answer.status, attempt, answer.retry_after);
         if !answer.body.is_empty() {
             writer.header("Content-Type", "application/json");
         }
--- a/crates/entry/src/online/relay.rs
+++ b/crates/entry/src/online/relay.rs
@@ -9,7 +9,7 @@
 };
 use notch_h1::prelude::*;
 use notch_platform_wire::{
-    client::own_answer,
+    client::gateway_answer,
     prelude::RelayTerms,
     target::{relayed_answer, relayed_request},
 };
@@ -348,7 +348,7 @@
         if let Some(account) = self.request.account.credit.as_ref().filter(|_| self.unknown == 0) {
             self.node.accounts.give_back(account, self.now());
         }
-        let mut writer = own_answer(status, self.request.attempt(), retry_after);
+        let mut writer = gateway_answer(status, self.request.attempt(), retry_after);
         if self.close {
             writer.header("Connection", "close");
         }
--- a/crates/entry/src/online/request.rs
+++ b/crates/entry/src/online/request.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use notch_h1::prelude::RequestHead;
-use notch_platform_wire::{client::prompt_heads, prelude::RequestTerms};
+use notch_platform_wire::{client::prompt_heads, prelude::RequestHeaders};
 use notch_relay::prelude::*;
 use notch_types::prelude::*;
 
@@ -51,7 +51,7 @@
         arrived: MonoTime,
         account: RequestAccount,
     ) -> Self {
-        let patience = RequestTerms::decode(&head.headers).patience;
+        let patience = RequestHeaders::decode(&head.headers).deadline;
         let limit = patience.map_or(route.timeout, |patience| patience.min(route.timeout));
         let fingerprint = CrashTable::fingerprint(&head.target, &body);
         let prompt = prompt_heads(&head.headers);
@@ -72,12 +72,12 @@
 
     /// The client's id of this attempt.
     pub fn attempt(&self) -> Option<&str> {
-        RequestTerms::decode(&self.head.headers).attempt
+        RequestHeaders::decode(&self.head.headers).attempt
     }
 
     /// The last event that the client holds.
     pub fn last_event(&self) -> Option<u64> {
-        RequestTerms::decode(&self.head.headers).last_event
+        RequestHeaders::decode(&self.head.headers).last_event
     }
 
     /// Time left at `now`.
--- a/crates/entry/src/target/connection.rs
+++ b/crates/entry/src/target/connection.rs
@@ -4,7 +4,7 @@
 
 use async_std::future::timeout;
 use notch_h1::prelude::*;
-use notch_platform_wire::prelude::AnswerMarks;
+use notch_platform_wire::prelude::AnswerHeaders;
 use notch_relay::prelude::*;
 
 use crate::constants::{ANSWER_BODY_BYTES, ANSWER_HEAD_BYTES};
@@ -51,7 +51,7 @@
         let _ = write_all(self.reader.stream(), request).await;
         loop {
             let head = self.reader.response_head(ANSWER_HEAD_BYTES).await.map_err(head_failure)?;
-            let answered = AnswerMarks::decode(&head).attempt;
+            let answered = AnswerHeaders::decode(&head).attempt;
             let is_ours = match (answered, attempt) {
                 (Some(answered), Some(attempt)) => answered == attempt,
                 _ => true,
@@ -78,7 +78,7 @@
 /// Whether the head begins the target's own answer. The statuses that promise that nothing ran
 /// count only with the target's word for it; without it the request may have run.
 fn judge(head: &ResponseHead) -> Result<(), AttemptFailure> {
-    let marks = AnswerMarks::decode(head);
+    let marks = AnswerHeaders::decode(head);
     match head.status {
         421 => Err(AttemptFailure::OtherTarget),
         _ if marks.not_run => Err(AttemptFailure::RefusedNotRun),
--- a/crates/entry/src/target/pool.rs
+++ b/crates/entry/src/target/pool.rs
@@ -8,7 +8,7 @@
 
 use async_std::{future::timeout, net::TcpStream};
 use notch_h1::prelude::*;
-use notch_platform_wire::prelude::AnswerMarks;
+use notch_platform_wire::prelude::AnswerHeaders;
 use notch_relay::prelude::*;
 use notch_types::prelude::*;
 
@@ -61,7 +61,7 @@
         if connection.is_odd || !head.keep_alive || connection.reader.has_rest() {
             return;
         }
-        let lifetime = AnswerMarks::decode(head).keeps_for.unwrap_or(IDLE_DEFAULT);
+        let lifetime = AnswerHeaders::decode(head).keep_alive_timeout.unwrap_or(IDLE_DEFAULT);
         let lifetime = lifetime.saturating_sub(IDLE_MARGIN);
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let list = idle.entry(id.to_owned()).or_default();
--- a/crates/entry/tests/frozen_owner.rs
+++ b/crates/entry/tests/frozen_owner.rs
@@ -7,7 +7,7 @@
 use async_std::task;
 use notch_platform_standins::{
     client::{StandInClient, seen_results},
-    store::{StandInStore, platform},
+    store::{StandInStore, store_with_targets},
     target::{Conduct, StandInTarget},
 };
 use notch_soak::{config::gateway_config, process::GatewayProcess};
@@ -53,7 +53,7 @@
         task::block_on(async {
             let target = StandInTarget::start("t-1").await;
             target.conduct(&[Conduct::Whole, Conduct::Slow(600_000)]);
-            let store = platform(&[&target]).await;
+            let store = store_with_targets(&[&target]).await;
             let first = gateway("g-1", &store);
             let second = gateway("g-2", &store);
             let [at_first, at_second] =
--- a/crates/gate/src/core.rs
+++ b/crates/gate/src/core.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use notch_messages::prelude::*;
-use notch_types::{account::WorkClass, prelude::*};
+use notch_types::{class::WorkClass, prelude::*};
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
 
 use crate::{
@@ -114,7 +114,7 @@
             "refused",
             format!("attempt {:x} not started", attempt.number),
         );
-        effects.push(GateEffect::Note(note.at(&self.settings.vm).because(reason.code())));
+        effects.push(GateEffect::Note(note.with_vm(&self.settings.vm).with_reason(reason.code())));
         let refusal = AttemptRefusal { attempt, reason, retry_after_ms };
         Self::send(gateway, GatewayMessage::Refused(refusal), effects);
     }
--- a/crates/gate/src/core/batch.rs
+++ b/crates/gate/src/core/batch.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use notch_messages::prelude::*;
-use notch_types::{account::WorkClass, prelude::*};
+use notch_types::{class::WorkClass, prelude::*};
 
 use super::{GateCore, RETURNS_KEPT};
 use crate::{
--- a/crates/gate/src/core/endings.rs
+++ b/crates/gate/src/core/endings.rs
@@ -1,7 +1,7 @@
 //! How runs end, and what a crash of the target means for those in flight.
 
 use notch_messages::prelude::*;
-use notch_types::{account::WorkClass, prelude::*};
+use notch_types::{class::WorkClass, prelude::*};
 
 use super::GateCore;
 use crate::{
@@ -181,7 +181,7 @@
             let subject = NoteSubject::Target(state.name.clone());
             let detail = in_flight_detail(state, &fingerprints);
             let note = DecisionNote::new(subject, "suspects_named", detail);
-            effects.push(GateEffect::Note(note.at(&self.settings.vm)));
+            effects.push(GateEffect::Note(note.with_vm(&self.settings.vm)));
         }
         self.tell_suspects(now, &state.name, fingerprints, alone, effects);
     }
@@ -219,7 +219,7 @@
         let in_flight = state.taken() as usize + state.doubtful.len();
         let detail = format!("{in_flight} in flight");
         let note = DecisionNote::new(NoteSubject::Target(state.name.clone()), code, detail);
-        effects.push(GateEffect::Note(note.at(&self.settings.vm)));
+        effects.push(GateEffect::Note(note.with_vm(&self.settings.vm)));
     }
 
     fn settle_doubtful(
--- a/crates/gate/src/core/isolation.rs
+++ b/crates/gate/src/core/isolation.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use notch_types::{account::WorkClass, prelude::*};
+use notch_types::{class::WorkClass, prelude::*};
 
 use super::GateCore;
 use crate::{
--- a/crates/gate/src/effect.rs
+++ b/crates/gate/src/effect.rs
@@ -1,7 +1,7 @@
 //! What the gate wants done.
 
 use notch_messages::prelude::*;
-use notch_types::{account::WorkClass, prelude::*};
+use notch_types::{class::WorkClass, prelude::*};
 
 /// One effect; carried out in the order given.
 #[derive(Debug, Clone, PartialEq)]
--- a/crates/gate/src/gate/attempts.rs
+++ b/crates/gate/src/gate/attempts.rs
@@ -1,7 +1,7 @@
 //! Online attempts: offer, resume, cancel, seal, and the times they may take.
 
 use notch_messages::prelude::*;
-use notch_types::{account::WorkClass, prelude::*};
+use notch_types::{class::WorkClass, prelude::*};
 
 use super::AdmissionGate;
 use crate::{
--- a/crates/gate/src/run_record.rs
+++ b/crates/gate/src/run_record.rs
@@ -1,7 +1,7 @@
 //! One attempt as the gate holds it, from its offer until its output is forgotten.
 
 use notch_messages::prelude::*;
-use notch_types::{account::WorkClass, prelude::*};
+use notch_types::{class::WorkClass, prelude::*};
 
 use crate::effect::RunRequest;
 
--- a/crates/gate/src/settings.rs
+++ b/crates/gate/src/settings.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use notch_types::{account::TargetKind, prelude::*};
+use notch_types::{class::TargetKind, prelude::*};
 
 /// Who starts when slots are free.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
--- a/crates/gate/tests/common/mod.rs
+++ b/crates/gate/tests/common/mod.rs
@@ -8,7 +8,7 @@
 
 use notch_gate::prelude::*;
 use notch_messages::prelude::*;
-use notch_types::{account::WorkClass, prelude::*};
+use notch_types::{class::WorkClass, prelude::*};
 
 pub const OWN: Incarnation = Incarnation(7);
 
--- a/crates/gateway/src/control/core.rs
+++ b/crates/gateway/src/control/core.rs
@@ -38,7 +38,7 @@
     /// Lines for changes of state.
     pub log: NodeLog,
     /// Notes for `explain`.
-    pub notes: NoteBook,
+    pub notes: NoteHistory,
     /// Online requests.
     pub online: OnlineDesk,
     /// Ledger shards.
--- a/crates/gateway/src/control/online_desk.rs
+++ b/crates/gateway/src/control/online_desk.rs
@@ -7,7 +7,7 @@
 use notch_routing::{
     AccountUse, ArrivalId, OnlineRequest, OnlineRouter, RequestEnd, RouterEffect, RouterEvent,
 };
-use notch_types::{account::WorkClass, prelude::*};
+use notch_types::{class::WorkClass, prelude::*};
 
 use crate::{
     control::{
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -285,7 +285,7 @@
         view: parts.view,
         metrics: parts.metrics,
         log: NodeLog::new(&node.vm, &node.domain),
-        notes: NoteBook::new(NoteBookSettings::default()),
+        notes: NoteHistory::new(NoteHistorySettings::default()),
         online,
         shards: ShardDesk::new(&node.vm, build_hosts(config, incarnation)?),
         roster: MemberRoster::default(),
--- a/crates/gateway/src/traffic/front.rs
+++ b/crates/gateway/src/traffic/front.rs
@@ -8,7 +8,7 @@
 use notch_platform::ObjectApi;
 use notch_settings::GatewayConfig;
 use notch_telemetry::prelude::*;
-use notch_types::{account::TargetKind, prelude::*};
+use notch_types::{class::TargetKind, prelude::*};
 
 use crate::{
     control::{entries_view::SharedView, inbox::ControlInbox},
--- a/crates/magnolianotch/src/slopes/gate.rs
+++ b/crates/magnolianotch/src/slopes/gate.rs
@@ -4,7 +4,7 @@
 
 use notch_gate::prelude::*;
 use notch_messages::prelude::*;
-use notch_types::{account::WorkClass, prelude::*};
+use notch_types::{class::WorkClass, prelude::*};
 
 use super::{
     machine::{ProcessorClock, least_of},
--- a/crates/magnolianotch/tests/support/services.rs
+++ b/crates/magnolianotch/tests/support/services.rs
@@ -11,7 +11,7 @@
 use notch_platform::{VmRecord, VmRole, VmState};
 use notch_sidecar::prelude::*;
 use notch_standins::{ServiceHandle, ServiceSettings};
-use notch_types::{account::TargetKind, prelude::*};
+use notch_types::{class::TargetKind, prelude::*};
 use serde_json::json;
 
 use super::until;
--- a/crates/messages/src/attempt.rs
+++ b/crates/messages/src/attempt.rs
@@ -1,6 +1,6 @@
 //! One try of a request at a sidecar.
 
-use notch_types::{account::WorkClass, prelude::*};
+use notch_types::{class::WorkClass, prelude::*};
 use serde::{Deserialize, Serialize};
 
 /// Gateway to sidecar: run this, or say why not.
--- a/crates/placement/src/plan.rs
+++ b/crates/placement/src/plan.rs
@@ -122,7 +122,7 @@
         self.effects.push(PlacementEffect::Count(Counter::Event(event)));
         for subject in [NoteSubject::Target(model.clone()), NoteSubject::Vm(vm.clone())] {
             let note = DecisionNote::new(subject, code, detail.clone());
-            self.effects.push(PlacementEffect::Note(note.at(vm).because(reason.code())));
+            self.effects.push(PlacementEffect::Note(note.with_vm(vm).with_reason(reason.code())));
         }
     }
 
--- a/crates/placement/src/planner.rs
+++ b/crates/placement/src/planner.rs
@@ -175,7 +175,7 @@
         let vm = &self.settings.lease.vm;
         let note = DecisionNote::new(NoteSubject::Vm(vm.clone()), code, format!("epoch {epoch}"));
         effects.push(PlacementEffect::Count(Counter::Event(code)));
-        effects.push(PlacementEffect::Note(note.at(vm)));
+        effects.push(PlacementEffect::Note(note.with_vm(vm)));
     }
 
     fn take_models(&mut self, models: Vec<ModelWanted>, effects: &mut Vec<PlacementEffect>) {
--- a/crates/placement/src/planner/answers.rs
+++ b/crates/placement/src/planner/answers.rs
@@ -107,7 +107,7 @@
         };
         for subject in [NoteSubject::Target(open.model.clone()), NoteSubject::Vm(vm.clone())] {
             let note = DecisionNote::new(subject, code, detail.clone());
-            effects.push(PlacementEffect::Note(note.at(&vm).because(open.reason.code())));
+            effects.push(PlacementEffect::Note(note.with_vm(&vm).with_reason(open.reason.code())));
         }
     }
 
@@ -172,7 +172,7 @@
         let (model, vm) = (open.model.clone(), open.order.vm.clone());
         let detail = format!("the weight store asks for {} ms of patience", pause.as_millis());
         let note = DecisionNote::new(NoteSubject::Target(model), "permit_denied", detail);
-        effects.push(PlacementEffect::Note(note.at(&vm)));
+        effects.push(PlacementEffect::Note(note.with_vm(&vm)));
     }
 
     /// Sends orders again whose answer doesn't come, and asks again for permits.
--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use notch_types::{account::TargetKind, prelude::*};
+use notch_types::{class::TargetKind, prelude::*};
 
 /// A target's entry, as far as routing goes.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/crates/routing/src/router/arrival.rs
+++ b/crates/routing/src/router/arrival.rs
@@ -256,7 +256,7 @@
         turn.count(Counter::Refused(refusal.reason));
         let subject = NoteSubject::Request(request.request);
         let note = DecisionNote::new(subject, "refused", refusal.detail.clone());
-        turn.note(note.because(refusal.reason.code()));
+        turn.note(note.with_reason(refusal.reason.code()));
         let finish = RouterEffect::Finish {
             arrival: request.arrival,
             request: request.request,
--- a/crates/routing/src/router/attempt.rs
+++ b/crates/routing/src/router/attempt.rs
@@ -358,5 +358,5 @@
 ) {
     turn.count(Counter::Event(counter));
     let detail = format!("target {target}");
-    turn.note(DecisionNote::new(NoteSubject::Vm(vm.clone()), code, detail).at(vm));
+    turn.note(DecisionNote::new(NoteSubject::Vm(vm.clone()), code, detail).with_vm(vm));
 }
--- a/crates/routing/src/router/dispatch.rs
+++ b/crates/routing/src/router/dispatch.rs
@@ -282,11 +282,11 @@
         state.lead.target,
         deadline_left.as_millis()
     );
-    DecisionNote::new(NoteSubject::Request(state.id()), "routed", detail).at(vm)
+    DecisionNote::new(NoteSubject::Request(state.id()), "routed", detail).with_vm(vm)
 }
 
 fn retried_note(state: &RequestState, failure: &AttemptFailure, wait: Duration) -> DecisionNote {
     let detail = format!("{}; again in {} ms", failure.detail, wait.as_millis());
     DecisionNote::new(NoteSubject::Request(state.id()), "retried", detail)
-        .because(failure.retry.code())
+        .with_reason(failure.retry.code())
 }
--- a/crates/routing/src/router/finish.rs
+++ b/crates/routing/src/router/finish.rs
@@ -294,6 +294,6 @@
     let detail = format!("{}; attempts: {}, {ran}", refusal.detail, state.attempts.len());
     turn.note(
         DecisionNote::new(NoteSubject::Request(state.id()), "refused", detail)
-            .because(refusal.reason.code()),
+            .with_reason(refusal.reason.code()),
     );
 }
--- a/crates/routing/src/router/fleet.rs
+++ b/crates/routing/src/router/fleet.rs
@@ -59,7 +59,7 @@
             RouterEvent::SuspectSeen { fingerprint, vm, alone } => {
                 let detail = format!("{fingerprint} in flight, {}", company_of(alone));
                 let subject = NoteSubject::Vm(vm.clone());
-                turn.note(DecisionNote::new(subject, "suspect_heard", detail).at(&vm));
+                turn.note(DecisionNote::new(subject, "suspect_heard", detail).with_vm(&vm));
                 self.suspects.crashed(turn.now, fingerprint, &vm, alone);
                 self.refuse_quarantined(turn, fingerprint);
             }
@@ -148,7 +148,7 @@
         }
         let company = company_of(alone);
         let crash = format!("target {target} crashed with {fingerprint} in flight, {company}");
-        turn.note(DecisionNote::new(NoteSubject::Vm(vm.clone()), "crashed", crash).at(vm));
+        turn.note(DecisionNote::new(NoteSubject::Vm(vm.clone()), "crashed", crash).with_vm(vm));
         turn.emit(RouterEffect::Suspected { fingerprint, vm: vm.clone(), alone });
         if !self.suspects.crashed(turn.now, fingerprint, vm, alone) {
             return;
@@ -156,7 +156,7 @@
         turn.count(Counter::Event("fingerprints_quarantined"));
         let detail = format!("{fingerprint} crashed it on distinct VMs, last on {vm}");
         let subject = NoteSubject::Target(target.clone());
-        turn.note(DecisionNote::new(subject, "quarantined", detail).at(vm));
+        turn.note(DecisionNote::new(subject, "quarantined", detail).with_vm(vm));
         turn.emit(RouterEffect::Quarantine { fingerprint, target: target.clone() });
     }
 
@@ -265,7 +265,7 @@
 fn note_leaving(turn: &mut RouterTurn<'_>, vm: &VmName, by: &str) {
     turn.count(Counter::Event("sidecars_leaving"));
     let detail = format!("no new work goes there, {by}");
-    turn.note(DecisionNote::new(NoteSubject::Vm(vm.clone()), "leaving", detail).at(vm));
+    turn.note(DecisionNote::new(NoteSubject::Vm(vm.clone()), "leaving", detail).with_vm(vm));
 }
 
 fn is_waiting(state: &RequestState) -> bool {
--- a/crates/routing/src/router/seal.rs
+++ b/crates/routing/src/router/seal.rs
@@ -49,7 +49,7 @@
                 "sealing",
                 "no sign of the attempt".to_owned(),
             )
-            .at(&vm),
+            .with_vm(&vm),
         );
         turn.emit(RouterEffect::Seal { vm, attempt });
     }
--- a/crates/settings/src/sections/target.rs
+++ b/crates/settings/src/sections/target.rs
@@ -5,7 +5,7 @@
     time::Duration,
 };
 
-use notch_types::{account::TargetKind, prelude::*};
+use notch_types::{class::TargetKind, prelude::*};
 
 use crate::file::FieldVisitor;
 
--- a/crates/sidecar/examples/cost.rs
+++ b/crates/sidecar/examples/cost.rs
@@ -21,7 +21,7 @@
 use notch_settings::prelude::TargetSettings;
 use notch_sidecar::prelude::*;
 use notch_standins::{ServiceHandle, ServiceSettings};
-use notch_types::{account::TargetKind, prelude::*};
+use notch_types::{class::TargetKind, prelude::*};
 
 /// Attempts of each round.
 const ATTEMPTS: u64 = 4_000;
@@ -73,7 +73,7 @@
             attempt: run,
             target: target(),
             account: AccountName::new("account"),
-            class: notch_types::account::WorkClass::Online,
+            class: notch_types::class::WorkClass::Online,
             path: String::new(),
             body: body.clone(),
             stream: true,
--- a/crates/sidecar/src/control.rs
+++ b/crates/sidecar/src/control.rs
@@ -16,7 +16,7 @@
 use notch_messages::prelude::*;
 use notch_target::prelude::CacheReport;
 use notch_telemetry::prelude::*;
-use notch_types::{account::WorkClass, prelude::*};
+use notch_types::{class::WorkClass, prelude::*};
 
 pub(crate) use self::events::{ControlEvent, EventQueue, EventSender, event_queue};
 use self::served::ServedTargets;
@@ -55,7 +55,7 @@
     clock: ProcessClock,
     entries: EntryTable,
     served: ServedTargets,
-    notes: NoteBook,
+    notes: NoteHistory,
     log: NodeLog,
     /// Ends a run's task; one for each run that was started and hasn't ended.
     stops: FastMap<AttemptId, Sender<()>>,
@@ -78,7 +78,7 @@
             clock: ProcessClock::new(),
             entries: EntryTable::new(MAX_ENTRIES),
             served: ServedTargets::new(&parts.settings),
-            notes: NoteBook::new(NoteBookSettings::default()),
+            notes: NoteHistory::new(NoteHistorySettings::default()),
             stops: FastMap::default(),
             effects: Vec::new(),
             last_tick: Instant::now(),
--- a/crates/sidecar/src/settings.rs
+++ b/crates/sidecar/src/settings.rs
@@ -6,7 +6,7 @@
 use notch_link::prelude::*;
 use notch_messages::prelude::NodeRole;
 use notch_settings::prelude::SidecarConfig;
-use notch_types::{account::TargetKind, prelude::*};
+use notch_types::{class::TargetKind, prelude::*};
 
 use crate::error::SidecarError;
 
--- a/crates/sidecar/src/traffic/run_task.rs
+++ b/crates/sidecar/src/traffic/run_task.rs
@@ -16,7 +16,7 @@
 use notch_gate::prelude::{GateEvent, RunEnd, RunRequest};
 use notch_target::prelude::*;
 use notch_telemetry::prelude::{Metrics, Timing};
-use notch_types::{account::WorkClass, prelude::*};
+use notch_types::{class::WorkClass, prelude::*};
 
 use super::{
     link_board::LinkBoard, run_board::RunBoard, run_buffer::RunBuffer, timing_board::TimingBoard,
--- a/crates/sidecar/src/traffic/timing_board.rs
+++ b/crates/sidecar/src/traffic/timing_board.rs
@@ -6,7 +6,7 @@
 };
 
 use notch_gate::prelude::TimingSample;
-use notch_types::{account::WorkClass, prelude::*};
+use notch_types::{class::WorkClass, prelude::*};
 
 /// Samples by target since they were last taken. Bounded by the targets served.
 #[derive(Debug, Default)]
--- a/crates/sidecar/tests/common/mod.rs
+++ b/crates/sidecar/tests/common/mod.rs
@@ -10,7 +10,7 @@
 use notch_settings::prelude::*;
 use notch_sidecar::prelude::*;
 use notch_types::{
-    account::{TargetKind, WorkClass},
+    class::{TargetKind, WorkClass},
     prelude::*,
 };
 
--- a/crates/sidecar/tests/failures.rs
+++ b/crates/sidecar/tests/failures.rs
@@ -10,7 +10,7 @@
 use notch_messages::prelude::*;
 use notch_sidecar::prelude::*;
 use notch_standins::{EngineHandle, EngineSettings, ServiceHandle, ServiceSettings, expected_text};
-use notch_types::{account::TargetKind, prelude::*};
+use notch_types::{class::TargetKind, prelude::*};
 use rstest::rstest;
 
 /// An engine slow enough that its answers are met in their midst.
--- a/crates/sidecar/tests/loopback.rs
+++ b/crates/sidecar/tests/loopback.rs
@@ -11,7 +11,7 @@
 use notch_standins::{
     EngineHandle, EngineSettings, ServiceHandle, ServiceSettings, expected_answer, expected_text,
 };
-use notch_types::{account::TargetKind, prelude::*};
+use notch_types::{class::TargetKind, prelude::*};
 use rstest::rstest;
 
 /// An engine with little to do per token, so that tests end soon.
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -200,7 +200,7 @@
         for number in 0..self.targets.len() {
             let slot = self.target(number);
             slot.proxy.set(ProxyMode::Pass);
-            slot.target.forget_conduct();
+            slot.target.clear_conduct();
         }
         for gateway in 0..self.gateways.len() {
             self.slot(gateway).process.signal(Signal::CONT);
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -13,6 +13,6 @@
             set_log_level,
         },
         metrics::{Gauge, Metrics, PairCounter, Timing},
-        notes::{NoteBook, NoteBookSettings, NoteEntry, SubjectNotes},
+        notes::{NoteEntry, NoteHistory, NoteHistorySettings, SubjectNotes},
     };
 }
--- a/crates/telemetry/src/notes.rs
+++ b/crates/telemetry/src/notes.rs
@@ -1,9 +1,9 @@
 //! Notes of decisions, kept for `explain`.
 
-mod book;
+mod history;
 mod subject;
 
 pub use self::{
-    book::{NoteBook, NoteBookSettings},
+    history::{NoteHistory, NoteHistorySettings},
     subject::{NoteEntry, SubjectNotes},
 };
--- a/crates/telemetry/src/notes/book.rs
+++ b/crates/telemetry/src/notes/history.rs
@@ -9,14 +9,14 @@
 
 /// Bounds of a book of notes.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct NoteBookSettings {
+pub struct NoteHistorySettings {
     /// Most subjects; the one that was noted longest ago goes first.
     pub subjects: usize,
     /// Most notes of one subject.
     pub notes: usize,
 }
 
-impl Default for NoteBookSettings {
+impl Default for NoteHistorySettings {
     fn default() -> Self {
         Self { subjects: 4_096, notes: 32 }
     }
@@ -33,17 +33,17 @@
 /// The notes of one node. Both bounds hold at all times: at most `subjects` pages of at most
 /// `notes` entries.
 #[derive(Debug, Default)]
-pub struct NoteBook {
-    settings: NoteBookSettings,
+pub struct NoteHistory {
+    settings: NoteHistorySettings,
     pages: FastMap<NoteSubject, BookPage>,
     /// Subjects by the turn of their last note; the same subjects as in `pages`.
     order: BTreeMap<u64, NoteSubject>,
     turn: u64,
 }
 
-impl NoteBook {
+impl NoteHistory {
     /// An empty book.
-    pub fn new(settings: NoteBookSettings) -> Self {
+    pub fn new(settings: NoteHistorySettings) -> Self {
         Self { settings, ..Self::default() }
     }
 
--- a/crates/telemetry/tests/notes.rs
+++ b/crates/telemetry/tests/notes.rs
@@ -62,8 +62,8 @@
     fn the_book_keeps_the_newest_notes_of_the_newest_subjects(
         notes in prop::collection::vec((0_u8..5, 0_usize..3, prop::option::of(0_u8..2)), 0..60),
     ) {
-        let settings = NoteBookSettings { subjects: SUBJECTS, notes: NOTES };
-        let mut book = NoteBook::new(settings);
+        let settings = NoteHistorySettings { subjects: SUBJECTS, notes: NOTES };
+        let mut book = NoteHistory::new(settings);
         let mut naive = NaiveBook::new();
         for (at, (number, code, vm)) in notes.into_iter().enumerate() {
             let mut note = DecisionNote::new(subject(number), CODES[code], format!("at {at}"));
@@ -90,12 +90,12 @@
 
 #[test]
 fn explain_shows_times_reasons_and_repeats() {
-    let mut book = NoteBook::default();
+    let mut book = NoteHistory::default();
     let request = RequestId(7);
     let vm = VmName::new("a");
     for at in [1_000, 2_500] {
         let note = DecisionNote::new(NoteSubject::Request(request), "refused", format!("{at}"));
-        book.record(Now::at_millis(at), note.at(&vm).because("overloaded"));
+        book.record(Now::at_millis(at), note.with_vm(&vm).with_reason("overloaded"));
     }
     let json = book.explain(&NoteSubject::Request(request)).expect("noted");
     let expected = serde_json::json!({
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,6 +1,6 @@
 //! The vocabulary every crate shares: names, times, payloads, refusals and counted reasons.
 
-pub mod account;
+pub mod class;
 pub mod counter;
 pub mod hash;
 pub mod ids;
--- a/crates/types/src/note.rs
+++ b/crates/types/src/note.rs
@@ -59,13 +59,13 @@
     }
 
     /// The same note naming a VM.
-    pub fn at(mut self, vm: &VmName) -> Self {
+    pub fn with_vm(mut self, vm: &VmName) -> Self {
         self.step.vm = Some(vm.clone());
         self
     }
 
     /// The same note with a reason's stable code.
-    pub fn because(mut self, reason: &'static str) -> Self {
+    pub fn with_reason(mut self, reason: &'static str) -> Self {
         self.step.reason = Some(reason);
         self
     }
