--- a/crates/entry/src/batch/bodies.rs
+++ b/crates/entry/src/batch/bodies.rs
@@ -55,15 +55,15 @@
 }
 
 fn held_item(node: &EntryNode, job: &str, account: &str, item: &str) -> Option<ReadAnswer> {
-    let desk = node.jobs();
-    if let Some(owned) = desk.board.get(job) {
+    let registry = node.jobs();
+    if let Some(owned) = registry.board.get(job) {
         if !may_access(&owned.spec().account, account) {
             return Some(ReadAnswer::no_such());
         }
         let answer = body_answer(body_of(owned.spec(), item));
         return Some(ReadAnswer { answer, source: ReadSource::Owner });
     }
-    let copy = desk.copies.get(job)?;
+    let copy = registry.copies.get(job)?;
     if copy.is_of_another(account) {
         return Some(ReadAnswer::no_such());
     }
@@ -79,9 +79,9 @@
     item: &str,
 ) -> Option<Option<Payload>> {
     let owner = {
-        let desk = node.jobs();
-        let read = || desk.copies.get(job).and_then(|copy| copy.owner.as_deref());
-        desk.owner(job).or_else(read)?.to_owned()
+        let registry = node.jobs();
+        let read = || registry.copies.get(job).and_then(|copy| copy.owner.as_deref());
+        registry.owner(job).or_else(read)?.to_owned()
     };
     let (job, item, account) = (job.to_owned(), item.to_owned(), account.to_owned());
     let question = |call| PeerMessage::BodyAsk { call, job, item, account };
@@ -101,8 +101,8 @@
     account: &str,
 ) {
     let told = {
-        let desk = node.jobs();
-        let spec = desk.board.get(job).map(OwnedJob::spec);
+        let registry = node.jobs();
+        let spec = registry.board.get(job).map(OwnedJob::spec);
         spec.map(|spec| {
             let body = body_of(spec, item).filter(|_| may_access(&spec.account, account));
             body.map(|body| Payload::from(body.to_vec()))
--- a/crates/entry/src/batch/commits.rs
+++ b/crates/entry/src/batch/commits.rs
@@ -66,8 +66,8 @@
 
 async fn take_stored(node: &Arc<EntryNode>, job: &str, now: MonoTime) {
     let is_closed = {
-        let mut desk = node.jobs();
-        let Some(owned) = desk.board.get_mut(job) else { return };
+        let mut registry = node.jobs();
+        let Some(owned) = registry.board.get_mut(job) else { return };
         owned.stored(now);
         owned.is_closed()
     };
--- a/crates/entry/src/batch/ends.rs
+++ b/crates/entry/src/batch/ends.rs
@@ -21,16 +21,16 @@
 /// A client ends a job: told so only once the end is stored.
 pub async fn end_job(node: &Arc<EntryNode>, job: &str, account: &str) -> OwnAnswer {
     let is_known = {
-        let desk = node.jobs();
-        let owner = desk.account(job);
+        let registry = node.jobs();
+        let owner = registry.account(job);
         if owner.is_some_and(|owner| !may_access(owner, account)) {
             return answer(node, job, "job_of_another", OwnAnswer::of(404));
         }
-        if desk.is_ended(job) {
+        if registry.is_ended(job) {
             return answer(node, job, "ended_before", OwnAnswer::of(200));
         }
         // Who may end a job must be known, where there are accounts.
-        desk.is_known(job) && (owner.is_some() || account.is_empty())
+        registry.is_known(job) && (owner.is_some() || account.is_empty())
     };
     if !is_known {
         match read_job(&node.store, job, StoreCallCause::EndStored).await {
@@ -56,17 +56,17 @@
 /// A job's end is stored: nothing of it runs here any more.
 pub fn take_end(node: &EntryNode, job: &str, source: &str) {
     let now = node.clock.mono();
-    let mut desk = node.jobs();
-    if !desk.note_ended(job, now) {
+    let mut registry = node.jobs();
+    if !registry.note_ended(job, now) {
         return;
     }
-    let was_owned = desk.is_owned(job);
-    if let Some(owned) = desk.board.get_mut(job) {
+    let was_owned = registry.is_owned(job);
+    if let Some(owned) = registry.board.get_mut(job) {
         owned.end();
     }
-    desk.retire_job(job);
-    desk.note_closed(job, now);
-    drop(desk);
+    registry.retire_job(job);
+    registry.note_closed(job, now);
+    drop(registry);
     node.log.info("job_ended", &[("job", &job), ("source", &source), ("owned", &was_owned)]);
     node.job_news.notify(usize::MAX);
     if source == "store" {
--- a/crates/entry/src/batch/intake.rs
+++ b/crates/entry/src/batch/intake.rs
@@ -178,12 +178,12 @@
 async fn is_taken(node: &EntryNode, id: &str, arrived: MonoTime) -> bool {
     loop {
         {
-            let desk = node.jobs();
-            if desk.is_known(id) {
+            let registry = node.jobs();
+            if registry.is_known(id) {
                 return true;
             }
             let is_over = node.clock.mono().since(arrived) >= INTAKE_PATIENCE;
-            if !desk.is_busy(id) || is_over {
+            if !registry.is_busy(id) || is_over {
                 return false;
             }
         }
@@ -275,9 +275,9 @@
     // A copy for readers says nothing of the owner; another gateway's claim may be older than our answer, or
     // newer: then the store is asked.
     let is_claimed = {
-        let mut desk = node.jobs();
-        let is_claimed = desk.owner(&id).is_some();
-        if !desk.own_job(owned) {
+        let mut registry = node.jobs();
+        let is_claimed = registry.owner(&id).is_some();
+        if !registry.own_job(owned) {
             return;
         }
         is_claimed
--- a/crates/entry/src/batch/item_run.rs
+++ b/crates/entry/src/batch/item_run.rs
@@ -80,12 +80,12 @@
             ("ms", &now.since(began).as_millis()),
         ],
     );
-    let mut desk = node.jobs();
-    desk.runs.remove(&run);
+    let mut registry = node.jobs();
+    registry.runs.remove(&run);
     if end == ItemEnd::Completed && start.last_event.is_none() {
-        desk.board.note_whole_run(&start.item, now.since(began));
+        registry.board.note_whole_run(&start.item, now.since(began));
     }
-    if let Some(job) = desk.board.get_mut(&start.job) {
+    if let Some(job) = registry.board.get_mut(&start.job) {
         if matches!(end, ItemEnd::Completed | ItemEnd::Impossible) {
             node.limits.note_ended(&job.spec().limit_name(), start.item.limit_tokens, now);
         }
@@ -94,7 +94,7 @@
         }
         job.end_item(start.index, &end, now);
     }
-    drop(desk);
+    drop(registry);
     node.runner_wake.notify(usize::MAX);
 }
 
--- a/crates/entry/src/batch/desk.rs
+++ b/crates/entry/src/batch/job_registry.rs
@@ -54,7 +54,7 @@
 
 /// All that a gateway holds of jobs.
 #[derive(Debug, Default)]
-pub struct JobDesk {
+pub struct JobRegistry {
     /// Jobs that this gateway owns.
     pub board: JobBoard,
     /// Results and bodies of jobs for readers.
@@ -87,7 +87,7 @@
     arriving: FastMap<String, ArrivingWork>,
 }
 
-impl JobDesk {
+impl JobRegistry {
     /// Whether this gateway owns the job.
     pub fn is_owned(&self, job: &str) -> bool {
         self.board.get(job).is_some()
--- a/crates/entry/src/batch/limit_asks.rs
+++ b/crates/entry/src/batch/limit_asks.rs
@@ -52,8 +52,8 @@
 
 /// Notes what is free. A table that changed meanwhile may hold shares that nobody was asked for.
 fn note_count(node: &EntryNode, limit: &WaitingLimit, asked: &AskedShares, asked_at: MonoTime) {
-    let used = with_holder(node, &limit.name, |holder, desk| {
-        let used = desk.limit_tokens(&limit.name);
+    let used = with_holder(node, &limit.name, |holder, registry| {
+        let used = registry.limit_tokens(&limit.name);
         (holder.revision() == asked.revision).then(|| holder.used_by_all(used))
     });
     let Some(used) = used else { return };
--- a/crates/entry/src/batch/limit_desk.rs
+++ b/crates/entry/src/batch/limit_registry.rs
@@ -9,7 +9,7 @@
 
 /// This gateway's part in every limit.
 #[derive(Debug, Default)]
-pub struct LimitDesk {
+pub struct LimitRegistry {
     holders: Mutex<FastMap<String, ShareHolder>>,
     drains: Mutex<FastMap<String, DrainRate>>,
     counts: Mutex<FastMap<String, CountPace>>,
@@ -21,7 +21,7 @@
     pub asking: TurnMutex<()>,
 }
 
-impl LimitDesk {
+impl LimitRegistry {
     /// Tokens of a route ended here at `now`.
     pub fn note_ended(&self, route: &str, tokens: u64, now: MonoTime) {
         let mut drains = self.drains.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/entry/src/batch/limits.rs
+++ b/crates/entry/src/batch/limits.rs
@@ -18,7 +18,7 @@
 
 use crate::{
     batch::{
-        desk::JobDesk,
+        job_registry::JobRegistry,
         limit_asks::{AskedShares, ask_in_turn},
     },
     constants::{LIMIT_CALL, LIMIT_PATIENCE, LIMIT_ROUNDS, ROOM_TICK},
@@ -127,11 +127,11 @@
 /// Counts the job if it's within what is held here; whether it is, and what is missing.
 fn take_held(node: &EntryNode, limit: &WaitingLimit, job: &str, tokens: u64) -> ShareRoom {
     let is_in_touch = node.peers.hears_all(node.clock.mono());
-    with_holder(node, &limit.name, |holder, desk| {
-        let used = desk.limit_tokens(&limit.name);
+    with_holder(node, &limit.name, |holder, registry| {
+        let used = registry.limit_tokens(&limit.name);
         let room = holder.room(used, tokens, limit.tokens, is_in_touch);
         if room == ShareRoom::Held {
-            desk.reserve(job, &limit.name, tokens);
+            registry.reserve(job, &limit.name, tokens);
         }
         room
     })
@@ -148,7 +148,7 @@
     match next_step(node, limit, job, tokens) {
         ShareStep::Granted => ShareWrite::Done,
         ShareStep::Write(proposal) => {
-            let count_job = |desk: &mut JobDesk| desk.reserve(job, &limit.name, tokens);
+            let count_job = |registry: &mut JobRegistry| registry.reserve(job, &limit.name, tokens);
             write(node, &limit.name, proposal, count_job).await
         }
         ShareStep::Full { .. } => ShareWrite::Changed,
@@ -167,11 +167,11 @@
 fn next_step(node: &EntryNode, limit: &WaitingLimit, job: &str, tokens: u64) -> ShareStep {
     let gateways = node.peers.known_count() as u64 + 1;
     let is_in_touch = node.peers.hears_all(node.clock.mono());
-    with_holder(node, &limit.name, |holder, desk| {
-        let used = desk.limit_tokens(&limit.name);
+    with_holder(node, &limit.name, |holder, registry| {
+        let used = registry.limit_tokens(&limit.name);
         let step = holder.step(used, tokens, limit.tokens, gateways, is_in_touch);
         if step == ShareStep::Granted {
-            desk.reserve(job, &limit.name, tokens);
+            registry.reserve(job, &limit.name, tokens);
         }
         step
     })
@@ -183,7 +183,7 @@
 /// # Errors
 /// The store didn't answer: nothing may be taken over yet.
 pub async fn cover(node: &EntryNode, route: &str) -> Result<(), StoreFailure> {
-    change(node, route, |holder, desk| holder.cover(desk.limit_tokens(route))).await
+    change(node, route, |holder, registry| holder.cover(registry.limit_tokens(route))).await
 }
 
 /// Work was taken over from these gateways: they hold that much less. Undone it only counts twice,
@@ -197,11 +197,11 @@
 async fn change(
     node: &EntryNode,
     route: &str,
-    propose: impl Fn(&mut ShareHolder, &JobDesk) -> ShareProposal,
+    propose: impl Fn(&mut ShareHolder, &JobRegistry) -> ShareProposal,
 ) -> Result<(), StoreFailure> {
     let _turn = begin_turn(node, route).await;
     for _ in 0..LIMIT_ROUNDS {
-        let proposal = with_holder(node, route, |holder, desk| propose(holder, desk));
+        let proposal = with_holder(node, route, |holder, registry| propose(holder, registry));
         match write(node, route, proposal, |_| {}).await {
             ShareWrite::Done => return Ok(()),
             ShareWrite::Changed => {}
@@ -247,8 +247,8 @@
 async fn top_up(node: &EntryNode, limit: &WaitingLimit) {
     let _turn = begin_turn(node, &limit.name).await;
     let gateways = node.peers.known_count() as u64 + 1;
-    let proposal = with_holder(node, &limit.name, |holder, desk| {
-        holder.top_up(desk.limit_tokens(&limit.name), limit.tokens, gateways)
+    let proposal = with_holder(node, &limit.name, |holder, registry| {
+        holder.top_up(registry.limit_tokens(&limit.name), limit.tokens, gateways)
     });
     let Some(proposal) = proposal else { return };
     // One that another gateway was faster than is tried again in the next turn.
@@ -276,7 +276,7 @@
 /// Gives back what isn't used here. Also due when a job was lost to another gateway, which counts
 /// it from then on: its tokens are no room for others here.
 pub fn cede(node: &EntryNode, route: &str) -> u64 {
-    with_holder(node, route, |holder, desk| holder.cede(desk.limit_tokens(route)))
+    with_holder(node, route, |holder, registry| holder.cede(registry.limit_tokens(route)))
 }
 
 /// Another gateway has written shares.
@@ -289,8 +289,8 @@
 /// is left for the next time.
 pub fn forget(node: &EntryNode, routes: &[String]) -> usize {
     let Some(_turn) = node.limits.turn.try_lock() else { return 0 };
-    let desk = node.jobs();
-    let unused = routes.iter().filter(|route| desk.limit_tokens(route) == 0);
+    let registry = node.jobs();
+    let unused = routes.iter().filter(|route| registry.limit_tokens(route) == 0);
     unused.filter(|route| node.limits.forget(route)).count()
 }
 
@@ -298,12 +298,12 @@
 pub(crate) fn with_holder<T>(
     node: &EntryNode,
     route: &str,
-    work: impl FnOnce(&mut ShareHolder, &mut JobDesk) -> T,
+    work: impl FnOnce(&mut ShareHolder, &mut JobRegistry) -> T,
 ) -> T {
-    let mut desk = node.jobs();
+    let mut registry = node.jobs();
     let mut holders = node.limits.holders();
     let holder = holders.entry(route.to_owned()).or_insert_with(|| ShareHolder::new(&node.owner));
-    work(holder, &mut desk)
+    work(holder, &mut registry)
 }
 
 fn tell_shares(node: &EntryNode, route: &str, revision: u64, table: ShareTable) {
@@ -327,7 +327,7 @@
     node: &EntryNode,
     route: &str,
     proposal: ShareProposal,
-    on_done: impl FnOnce(&mut JobDesk),
+    on_done: impl FnOnce(&mut JobRegistry),
 ) -> ShareWrite {
     let name = object_name(route);
     let body = spec_body(&name, proposal.revision, &proposal.table);
@@ -342,9 +342,9 @@
         && let Ok(object) = decode::<StoreObject>(&reply.body)
     {
         let (revision, table) = (object.metadata.revision, proposal.table.clone());
-        with_holder(node, route, |holder, desk| {
+        with_holder(node, route, |holder, registry| {
             holder.written(proposal, revision);
-            on_done(desk);
+            on_done(registry);
         });
         tell_shares(node, route, revision, table);
         return ShareWrite::Done;
--- a/crates/entry/src/batch/looks.rs
+++ b/crates/entry/src/batch/looks.rs
@@ -63,8 +63,8 @@
     let now = node.clock.mono();
     let gateways = node.peers.known_count() + 1;
     let (may_look, is_storing) = {
-        let mut desk = node.jobs();
-        (desk.looks.take(gateways, now), desk.may_be_stored_elsewhere(job))
+        let mut registry = node.jobs();
+        (registry.looks.take(gateways, now), registry.may_be_stored_elsewhere(job))
     };
     if !may_look {
         let is_known = !is_storing && node.peers.knows_each_job(RESEND_SPAN, now);
--- a/crates/entry/src/batch/ownership.rs
+++ b/crates/entry/src/batch/ownership.rs
@@ -25,9 +25,9 @@
     if !is_in_touch(node, now) {
         return false;
     }
-    let desk = node.jobs();
+    let registry = node.jobs();
     let is_sure = |job: &OwnedJob| job.is_confirmed() && !job.is_storing_since(now - STORE_DOUBT);
-    desk.board.get(job).is_some_and(is_sure)
+    registry.board.get(job).is_some_and(is_sure)
 }
 
 /// Any job that we own may have been taken over: a link came back, or a gateway wasn't heard for long.
@@ -35,10 +35,10 @@
 /// Which are still ours is asked when a reader needs it. Only where it was rather this gateway that nobody
 /// heard, all are checked at once, for it may be running what others run, too.
 pub fn doubt_all(node: &Arc<EntryNode>, cause: &'static str, silence: PeerSilence) {
-    let mut desk = node.jobs();
-    desk.board.doubt_all();
-    let jobs = desk.open_owned().len();
-    drop(desk);
+    let mut registry = node.jobs();
+    registry.board.doubt_all();
+    let jobs = registry.open_owned().len();
+    drop(registry);
     if silence == PeerSilence::OfMost {
         let node = Arc::clone(node);
         task::spawn(async move { verify_all(&node).await });
@@ -139,11 +139,11 @@
 
 fn yield_job(node: &EntryNode, job: &str, owner: &str) {
     node.log.warn("job_lost", &[("job", &job), ("owner", &owner)]);
-    let mut desk = node.jobs();
-    let limit = desk.board.get(job).map(|owned| owned.spec().limit_name());
-    desk.give_up_job(job);
-    desk.note_owner(&[job.to_owned()], owner);
-    drop(desk);
+    let mut registry = node.jobs();
+    let limit = registry.board.get(job).map(|owned| owned.spec().limit_name());
+    registry.give_up_job(job);
+    registry.note_owner(&[job.to_owned()], owner);
+    drop(registry);
     if let Some(limit) = limit {
         limits::cede(node, &limit);
     }
--- a/crates/entry/src/batch/reads.rs
+++ b/crates/entry/src/batch/reads.rs
@@ -177,8 +177,8 @@
 }
 
 fn read_state(node: &EntryNode, job: &str, after: usize) -> ReadState {
-    let desk = node.jobs();
-    if let Some(owned) = desk.board.get(job) {
+    let registry = node.jobs();
+    if let Some(owned) = registry.board.get(job) {
         let total = owned.spec().items.len();
         let lines = owned.results().get(after..).unwrap_or_default();
         if lines.is_empty() && !owned.is_closed() {
@@ -188,7 +188,7 @@
         let is_sure = owned.results().len() >= total;
         return ReadState::Known(KnownLines { total, lines, is_sure, ends_object: true });
     }
-    let copy = desk.copies.get(job).cloned().unwrap_or_default();
+    let copy = registry.copies.get(job).cloned().unwrap_or_default();
     match copy.total {
         Some(total) if after < copy.lines.len() || copy.is_whole() => {
             let lines = copy.lines.get(after..).unwrap_or_default().to_vec();
--- a/crates/entry/src/batch/room.rs
+++ b/crates/entry/src/batch/room.rs
@@ -5,15 +5,15 @@
 use notch_relay::prelude::*;
 use notch_types::prelude::*;
 
-use crate::{batch::desk::JobDesk, constants::DEMAND_UNHEARD, node::EntryNode};
+use crate::{batch::job_registry::JobRegistry, constants::DEMAND_UNHEARD, node::EntryNode};
 
 /// Refuses whatever comes on a route while not even one item could be done in time: when to come back. Asked before
 /// a job is decoded, as in a burst each comes again and again.
 pub fn refusal(node: &EntryNode, route: &Route, due: Duration) -> Option<Duration> {
     let now = node.clock.mono();
-    let desk = node.jobs();
-    let item = DueWork { due: now + due, work: desk.board.pace().expected_or_guessed(0) };
-    refusal_of(node, &desk, route, item, now)
+    let registry = node.jobs();
+    let item = DueWork { due: now + due, work: registry.board.pace().expected_or_guessed(0) };
+    refusal_of(node, &registry, route, item, now)
 }
 
 /// Counts a job as one that is being taken in, if it can be done in time beside what was accepted before;
@@ -24,25 +24,25 @@
 /// below 0.
 pub fn take(node: &EntryNode, route: &Route, spec: &Arc<JobSpec>) -> Result<(), Duration> {
     let now = node.clock.mono();
-    let mut desk = node.jobs();
-    let job = DueWork { due: now + spec.terms.due, work: desk.board.work_of(spec) };
-    if let Some(wait) = refusal_of(node, &desk, route, job, now) {
+    let mut registry = node.jobs();
+    let job = DueWork { due: now + spec.terms.due, work: registry.board.work_of(spec) };
+    if let Some(wait) = refusal_of(node, &registry, route, job, now) {
         return Err(wait);
     }
-    desk.note_arriving(&spec.id, &route.name, job);
-    drop(desk);
+    registry.note_arriving(&spec.id, &route.name, job);
+    drop(registry);
     node.jobs_taken.notify(usize::MAX);
     Ok(())
 }
 
 fn refusal_of(
     node: &EntryNode,
-    desk: &JobDesk,
+    registry: &JobRegistry,
     route: &Route,
     job: DueWork,
     now: MonoTime,
 ) -> Option<Duration> {
-    let works = desk.works(now);
+    let works = registry.works(now);
     route.parts().find_map(|(service, part)| {
         let own = own_demand(node, &works, service);
         let mut intake = node.intake();
@@ -97,8 +97,8 @@
 /// What waits here for each service that a batch route names.
 pub fn own_demands(node: &EntryNode, now: MonoTime) -> FastMap<String, WorkDemand> {
     let Some(routes) = node.routes() else { return FastMap::default() };
-    let desk = node.jobs();
-    let works = desk.works(now);
+    let registry = node.jobs();
+    let works = registry.works(now);
     if works.is_empty() {
         return FastMap::default();
     }
--- a/crates/entry/src/batch/runner.rs
+++ b/crates/entry/src/batch/runner.rs
@@ -8,7 +8,7 @@
 use notch_types::prelude::*;
 
 use crate::{
-    batch::{commits, commits::ListPlace, desk::ItemRunHandle, item_run::run_item},
+    batch::{commits, commits::ListPlace, item_run::run_item, job_registry::ItemRunHandle},
     constants::{OBJECT_BYTES, PREEMPT_AGE, RESULT_DELAY, RUNNER_TICK, STARTS_PER_PASS},
     node::EntryNode,
 };
@@ -35,9 +35,9 @@
 /// Gives up items whose time is over or whose route is gone.
 fn give_up_items(node: &EntryNode, now: MonoTime) {
     let Some(routes) = node.routes() else { return };
-    let mut desk = node.jobs();
-    for id in desk.board.ids() {
-        let Some(job) = desk.board.get_mut(&id) else { continue };
+    let mut registry = node.jobs();
+    for id in registry.board.ids() {
+        let Some(job) = registry.board.get_mut(&id) else { continue };
         let spec = Arc::clone(job.spec());
         let route_gone = routes.find(&spec.host, &spec.path).is_none();
         job.give_up_items(route_gone, now);
@@ -50,9 +50,9 @@
     }
     let Some(routes) = node.routes() else { return };
     for _ in 0..STARTS_PER_PASS {
-        let mut desk = node.jobs();
-        let Some((job, index)) = desk.board.next_item(now) else { return };
-        let Some(owned) = desk.board.get(&job) else { return };
+        let mut registry = node.jobs();
+        let Some((job, index)) = registry.board.next_item(now) else { return };
+        let Some(owned) = registry.board.get(&job) else { return };
         let left_ms = (owned.due().0 as i64 - now.0 as i64) / 1_000;
         let spec = Arc::clone(owned.spec());
         let path = &spec.items[index].path;
@@ -71,11 +71,11 @@
         };
         let choice = node.targets().choose(&query, now, EntryNode::draw);
         let Some(choice) = choice else { return };
-        let Some(start) = desk.board.start_item(&job, index) else { return };
+        let Some(start) = registry.board.start_item(&job, index) else { return };
         let (cancel, cancelled) = async_channel::bounded(1);
         let target = choice.id.clone();
-        let run = desk.add_run(ItemRunHandle { job, target, since: now, cancel });
-        drop(desk);
+        let run = registry.add_run(ItemRunHandle { job, target, since: now, cancel });
+        drop(registry);
         log_start(node, &start, &choice, left_ms);
         task::spawn(run_item(Arc::clone(node), run, start, choice, cancelled));
     }
@@ -98,10 +98,10 @@
 /// Breaks off items at targets with more requests than places, those that began last: engines take
 /// requests first come first served, so online requests may wait behind them.
 fn make_room(node: &EntryNode, now: MonoTime) {
-    let desk = node.jobs();
+    let registry = node.jobs();
     let targets = node.targets();
     let mut runs: FastMap<&str, Vec<&ItemRunHandle>> = FastMap::default();
-    for run in desk.runs.values().filter(|run| !run.cancel.is_closed()) {
+    for run in registry.runs.values().filter(|run| !run.cancel.is_closed()) {
         runs.entry(&run.target).or_default().push(run);
     }
     for (target, mut list) in runs {
@@ -117,20 +117,20 @@
 /// Breaks off the item that began last at `target`: an online request was sent there that finds no
 /// place free. Waiting for the next pass would add up to [`RUNNER_TICK`] to its first event.
 pub fn yield_place(node: &EntryNode, target: &str) {
-    let desk = node.jobs();
-    let runs = desk.runs.values().filter(|run| run.target == target && !run.cancel.is_closed());
+    let registry = node.jobs();
+    let runs = registry.runs.values().filter(|run| run.target == target && !run.cancel.is_closed());
     if let Some(run) = runs.max_by_key(|run| run.since) {
         run.cancel.close();
     }
 }
 
 fn store_results(node: &Arc<EntryNode>, now: MonoTime) {
-    let mut desk = node.jobs();
-    for id in desk.board.ids() {
-        if desk.is_busy(&id) {
+    let mut registry = node.jobs();
+    for id in registry.board.ids() {
+        if registry.is_busy(&id) {
             continue;
         }
-        let Some(job) = desk.board.get_mut(&id) else { continue };
+        let Some(job) = registry.board.get_mut(&id) else { continue };
         if let Some(lines) = job.take_pending(RESULT_DELAY, OBJECT_BYTES, now) {
             let place = ListPlace { position: job.results().len(), fences: job.fences() };
             task::spawn(commits::store(Arc::clone(node), id, place, lines));
--- a/crates/entry/src/batch/takeover.rs
+++ b/crates/entry/src/batch/takeover.rs
@@ -45,8 +45,8 @@
 
 /// Whether a job that another gateway told of has lost its owner.
 fn has_orphans(node: &EntryNode, now: MonoTime) -> bool {
-    let desk = node.jobs();
-    let open = desk.owned_elsewhere().filter(|(job, _)| !desk.is_ended(job));
+    let registry = node.jobs();
+    let open = registry.owned_elsewhere().filter(|(job, _)| !registry.is_ended(job));
     // A gateway owns many jobs; each owner is asked for once.
     let owners: FastSet<&str> = open.map(|(_, owner)| owner).collect();
     owners.into_iter().any(|owner| node.liveness(owner, now) == OwnerLiveness::Gone)
@@ -68,8 +68,8 @@
             continue;
         }
         let is_ours = {
-            let desk = node.jobs();
-            desk.is_ended(&job.id) || desk.is_owned(&job.id) || desk.is_busy(&job.id)
+            let registry = node.jobs();
+            registry.is_ended(&job.id) || registry.is_owned(&job.id) || registry.is_busy(&job.id)
         };
         if is_ours {
             continue;
@@ -204,9 +204,9 @@
     owned.confirm(asked);
     let is_closed = owned.is_closed();
     {
-        let mut desk = node.jobs();
-        owned.adopt_progress(desk.take_progress(id));
-        if !desk.own_job(owned) {
+        let mut registry = node.jobs();
+        owned.adopt_progress(registry.take_progress(id));
+        if !registry.own_job(owned) {
             return Ok(());
         }
     }
--- a/crates/entry/src/gateway.rs
+++ b/crates/entry/src/gateway.rs
@@ -257,10 +257,10 @@
 pub async fn leave_jobs(node: &EntryNode) {
     node.stop.hand_over();
     let jobs = {
-        let mut desk = node.jobs();
-        let jobs = desk.board.ids();
+        let mut registry = node.jobs();
+        let jobs = registry.board.ids();
         for job in &jobs {
-            desk.cancel_runs(job);
+            registry.cancel_runs(job);
         }
         jobs
     };
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -18,7 +18,7 @@
 
 use crate::{
     accounts::state::AccountState,
-    batch::{desk::JobDesk, limit_desk::LimitDesk, read_tally::ReadTallies},
+    batch::{job_registry::JobRegistry, limit_registry::LimitRegistry, read_tally::ReadTallies},
     clock::NodeClock,
     constants::WATCHERS,
     peers::{
@@ -58,7 +58,7 @@
     /// Whether this gateway follows the store.
     pub watch: WatchDuty,
     /// This gateway's part in limits on waiting jobs.
-    pub limits: LimitDesk,
+    pub limits: LimitRegistry,
     /// Client accounts.
     pub accounts: AccountState,
     /// How long reads of jobs took.
@@ -84,7 +84,7 @@
     configuration: RwLock<Option<ConfigurationInForce>>,
     targets: Mutex<TargetTable>,
     target_feed: Mutex<TargetFeed>,
-    jobs: Mutex<JobDesk>,
+    jobs: Mutex<JobRegistry>,
     crashes: Mutex<CrashTable>,
     patience: Mutex<PatienceTable>,
     dropped_routes: Mutex<DroppedRoutes>,
@@ -115,7 +115,7 @@
             log,
             metrics,
             watch: WatchDuty::default(),
-            limits: LimitDesk::default(),
+            limits: LimitRegistry::default(),
             accounts: AccountState::new(&config.accounts),
             reads: ReadTallies::default(),
             pool: TargetPool::default(),
@@ -151,7 +151,7 @@
     }
 
     /// The jobs.
-    pub fn jobs(&self) -> MutexGuard<'_, JobDesk> {
+    pub fn jobs(&self) -> MutexGuard<'_, JobRegistry> {
         self.jobs.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/crates/entry/src/peers/demands.rs
+++ b/crates/entry/src/peers/demands.rs
@@ -98,12 +98,12 @@
 
 fn note_places(node: &EntryNode, now: MonoTime) {
     let places = node.targets().item_places(now);
-    let mut desk = node.jobs();
+    let mut registry = node.jobs();
     let mut intake = node.intake();
     for (service, places) in &places {
         intake.note_places(service, *places, now);
     }
     intake.expire(|service| places.contains_key(service), now);
-    let pace = intake.pace(desk.board.own_pace().figures());
-    desk.board.set_shared_pace(pace);
+    let pace = intake.pace(registry.board.own_pace().figures());
+    registry.board.set_shared_pace(pace);
 }
--- a/crates/entry/src/peers/hub.rs
+++ b/crates/entry/src/peers/hub.rs
@@ -331,12 +331,12 @@
         if is_owned {
             ownership::doubt(node, job, "claimed");
         } else {
-            let mut desk = node.jobs();
-            if desk.is_busy(job) {
+            let mut registry = node.jobs();
+            if registry.is_busy(job) {
                 // It is being taken over here: whichever of the two came first, the store tells.
-                desk.board.doubt_all();
+                registry.board.doubt_all();
             }
-            desk.note_owner(std::slice::from_ref(job), owner);
+            registry.note_owner(std::slice::from_ref(job), owner);
         }
     }
     // Readers that waited for an owner ask it now.
--- a/crates/entry/tests/desk.rs
+++ b/crates/entry/tests/job_registry.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use notch_entry::batch::desk::JobDesk;
+use notch_entry::batch::job_registry::JobRegistry;
 use notch_relay::prelude::*;
 use notch_types::prelude::*;
 
@@ -42,10 +42,10 @@
 /// former owner took its list for whole because the job had ended.
 #[test]
 fn an_ended_jobs_list_is_not_taken_for_whole() {
-    let mut desk = JobDesk::default();
-    assert!(desk.own_job(job(&["0"])));
-    desk.retire_job("j1");
-    let held = desk.copies.get("j1").expect("it is held");
+    let mut registry = JobRegistry::default();
+    assert!(registry.own_job(job(&["0"])));
+    registry.retire_job("j1");
+    let held = registry.copies.get("j1").expect("it is held");
     assert!(!held.is_whole(), "a write of results may be under way");
 }
 
@@ -54,20 +54,20 @@
 /// the job was begun anew.
 #[test]
 fn an_ended_job_does_not_begin_again() {
-    let mut desk = JobDesk::default();
-    assert!(desk.own_job(job(&[])));
-    desk.note_ended("j1", MonoTime::default());
-    desk.retire_job("j1");
-    assert!(!desk.own_job(job(&[])));
-    assert!(desk.open_owned().is_empty());
+    let mut registry = JobRegistry::default();
+    assert!(registry.own_job(job(&[])));
+    registry.note_ended("j1", MonoTime::default());
+    registry.retire_job("j1");
+    assert!(!registry.own_job(job(&[])));
+    assert!(registry.open_owned().is_empty());
 }
 
 #[test]
 fn a_job_is_owned_once() {
-    let mut desk = JobDesk::default();
-    assert!(desk.own_job(job(&["0"])));
-    assert!(!desk.own_job(job(&[])));
-    assert_eq!(desk.board.get("j1").map(|job| job.results().len()), Some(1));
+    let mut registry = JobRegistry::default();
+    assert!(registry.own_job(job(&["0"])));
+    assert!(!registry.own_job(job(&[])));
+    assert_eq!(registry.board.get("j1").map(|job| job.results().len()), Some(1));
 }
 
 /// Symptom: a gateway's memory grows from day to day. Sequence: jobs are closed and ended elsewhere,
@@ -75,13 +75,13 @@
 #[test]
 fn done_jobs_are_forgotten_in_the_end() {
     let at = MonoTime::from_millis;
-    let mut desk = JobDesk::default();
-    desk.note_owner(&["closed".to_owned(), "open".to_owned()], "g-2#1");
-    desk.note_closed("closed", at(1_000));
-    desk.note_ended("ended", at(2_000));
-    desk.forget_done(at(1_000));
-    assert!(desk.is_known("closed") && desk.is_ended("ended"), "not yet");
-    desk.forget_done(at(2_001));
-    assert!(!desk.is_known("closed") && !desk.is_ended("ended"));
-    assert!(desk.is_known("open"));
+    let mut registry = JobRegistry::default();
+    registry.note_owner(&["closed".to_owned(), "open".to_owned()], "g-2#1");
+    registry.note_closed("closed", at(1_000));
+    registry.note_ended("ended", at(2_000));
+    registry.forget_done(at(1_000));
+    assert!(registry.is_known("closed") && registry.is_ended("ended"), "not yet");
+    registry.forget_done(at(2_001));
+    assert!(!registry.is_known("closed") && !registry.is_ended("ended"));
+    assert!(registry.is_known("open"));
 }
