--- a/crates/entry/src/batch.rs
+++ b/crates/entry/src/batch.rs
@@ -3,10 +3,10 @@
 pub mod bodies;
 pub mod closing;
 pub mod commits;
-pub mod copies;
 pub mod ends;
 pub mod intake;
 pub mod item_run;
+pub mod job_cache;
 pub mod job_registry;
 pub mod limit_asks;
 pub mod limit_registry;
--- a/crates/entry/src/batch/bodies.rs
+++ b/crates/entry/src/batch/bodies.rs
@@ -39,7 +39,7 @@
     if let Some(told) = ask_owner(node, job, account, item).await {
         return ReadAnswer { answer: body_answer(told.as_deref()), source: ReadSource::Told };
     }
-    let mut copy = node.jobs().copies.get(job).cloned().unwrap_or_default();
+    let mut copy = node.jobs().cache.get(job).cloned().unwrap_or_default();
     match learn_job(node, job, &mut copy).await {
         Ok(true) => {}
         Ok(false) => return ReadAnswer::no_such(),
@@ -47,7 +47,7 @@
     }
     let is_of_another = copy.is_of_another(account);
     let answer = body_answer(copy.spec.as_deref().and_then(|spec| body_of(spec, item)));
-    node.jobs().copies.keep(job, copy);
+    node.jobs().cache.keep(job, copy);
     if is_of_another {
         return ReadAnswer::no_such();
     }
@@ -63,7 +63,7 @@
         let answer = body_answer(body_of(owned.spec(), item));
         return Some(ReadAnswer { answer, source: ReadSource::Owner });
     }
-    let copy = registry.copies.get(job)?;
+    let copy = registry.cache.get(job)?;
     if copy.is_of_another(account) {
         return Some(ReadAnswer::no_such());
     }
@@ -80,7 +80,7 @@
 ) -> Option<Option<Payload>> {
     let owner = {
         let registry = node.jobs();
-        let read = || registry.copies.get(job).and_then(|copy| copy.owner.as_deref());
+        let read = || registry.cache.get(job).and_then(|copy| copy.owner.as_deref());
         registry.owner(job).or_else(read)?.to_owned()
     };
     let (job, item, account) = (job.to_owned(), item.to_owned(), account.to_owned());
--- a/crates/entry/src/batch/copies.rs
+++ b/crates/entry/src/batch/job_cache.rs
@@ -9,7 +9,7 @@
 
 /// What is held of one job.
 #[derive(Debug, Clone, Default)]
-pub struct JobCopy {
+pub struct CachedJob {
     /// Items of the job; `None` when not known yet.
     pub total: Option<usize>,
     /// Stored results from the first on. Invariant: a prefix of the job's list.
@@ -31,7 +31,7 @@
     used: u64,
 }
 
-impl JobCopy {
+impl CachedJob {
     /// Appends lines that stand at `position` and on; those held already are passed over. With
     /// `is_all` the last one ends an object of the store.
     pub fn extend(&mut self, position: usize, lines: &[Arc<ResultLine>], is_all: bool) {
@@ -64,22 +64,22 @@
 
 /// Copies, the ones used last within a bound of memory. What was dropped is read from the store.
 #[derive(Debug, Default)]
-pub struct JobCopies {
-    copies: FastMap<String, JobCopy>,
+pub struct JobCache {
+    entries: FastMap<String, CachedJob>,
     uses: u64,
 }
 
-impl JobCopies {
+impl JobCache {
     /// A copy.
-    pub fn get(&self, job: &str) -> Option<&JobCopy> {
-        self.copies.get(job)
+    pub fn get(&self, job: &str) -> Option<&CachedJob> {
+        self.entries.get(job)
     }
 
     /// Keeps what a reader gathered of a job. What is held already and longer stays; then old copies
     /// over the bound are dropped.
-    pub fn keep(&mut self, job: &str, gathered: JobCopy) {
+    pub fn keep(&mut self, job: &str, gathered: CachedJob) {
         self.uses += 1;
-        let copy = self.copies.entry(job.to_owned()).or_default();
+        let copy = self.entries.entry(job.to_owned()).or_default();
         copy.used = self.uses;
         copy.total = copy.total.or(gathered.total);
         copy.spec = copy.spec.take().or(gathered.spec);
@@ -97,24 +97,24 @@
     /// Keeps what an owned job holds.
     pub fn take_owned(&mut self, job: &OwnedJob, is_closed: bool) {
         let lines = job.results().to_vec();
-        let gathered = JobCopy {
+        let gathered = CachedJob {
             total: Some(job.spec().items.len()),
             chunk_end: lines.len(),
             lines,
             spec: (!is_closed).then(|| Arc::clone(job.spec())),
             is_closed,
             account: Some(job.spec().account.clone()),
-            ..JobCopy::default()
+            ..CachedJob::default()
         };
         self.keep(&job.spec().id, gathered);
     }
 
     fn trim(&mut self) {
-        let mut weight: usize = self.copies.values().map(JobCopy::weight).sum();
-        while weight > COPY_BYTES && self.copies.len() > 1 {
-            let oldest = self.copies.iter().min_by_key(|(_, copy)| copy.used);
+        let mut weight: usize = self.entries.values().map(CachedJob::weight).sum();
+        while weight > COPY_BYTES && self.entries.len() > 1 {
+            let oldest = self.entries.iter().min_by_key(|(_, copy)| copy.used);
             let Some(job) = oldest.map(|(job, _)| job.clone()) else { return };
-            weight -= self.copies.remove(&job).map_or(0, |copy| copy.weight());
+            weight -= self.entries.remove(&job).map_or(0, |copy| copy.weight());
         }
     }
 }
--- a/crates/entry/src/batch/job_registry.rs
+++ b/crates/entry/src/batch/job_registry.rs
@@ -6,7 +6,7 @@
 use notch_relay::prelude::*;
 use notch_types::prelude::*;
 
-use crate::batch::{copies::JobCopies, looks::LookPace};
+use crate::batch::{job_cache::JobCache, looks::LookPace};
 
 /// Jobs whose progress is kept until they are taken over, at most: a gateway owns a dozen.
 const HANDED_JOBS: usize = 256;
@@ -58,7 +58,7 @@
     /// Jobs that this gateway owns.
     pub board: JobBoard,
     /// Results and bodies of jobs for readers.
-    pub copies: JobCopies,
+    pub cache: JobCache,
     /// Runs under way, by number.
     pub runs: FastMap<u64, ItemRunHandle>,
     next_run: u64,
@@ -98,7 +98,7 @@
         self.is_owned(job)
             || self.owners.contains_key(job)
             || self.listed.contains_key(job)
-            || self.copies.get(job).is_some()
+            || self.cache.get(job).is_some()
     }
 
     /// The account that sent the job, if that is known; empty for none.
@@ -106,7 +106,7 @@
         if let Some(owned) = self.board.get(job) {
             return Some(&owned.spec().account);
         }
-        self.copies.get(job)?.account.as_deref()
+        self.cache.get(job)?.account.as_deref()
     }
 
     /// Begins to run a job; false, and nothing begins, when its end is known or it's here already.
@@ -306,7 +306,7 @@
     pub fn give_up_job(&mut self, job: &str) {
         self.cancel_runs(job);
         if let Some(owned) = self.board.remove(job) {
-            self.copies.take_owned(&owned, false);
+            self.cache.take_owned(&owned, false);
         }
     }
 
@@ -316,7 +316,7 @@
         self.cancel_runs(job);
         if let Some(owned) = self.board.remove(job) {
             let is_whole = owned.results().len() >= owned.spec().items.len();
-            self.copies.take_owned(&owned, is_whole);
+            self.cache.take_owned(&owned, is_whole);
         }
     }
 
--- a/crates/entry/src/batch/reads.rs
+++ b/crates/entry/src/batch/reads.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     batch::{
-        copies::JobCopy,
+        job_cache::CachedJob,
         ownership,
         read_tally::{ReadKind, ReadSource},
         records::{read_job, read_results as stored_results, read_spec},
@@ -51,7 +51,7 @@
     /// Nothing new, as far as the job's owner, who is this gateway, knows.
     OwnedNothing { total: usize, held: usize },
     /// Another gateway or the store has to be asked.
-    Ask(JobCopy),
+    Ask(CachedJob),
 }
 
 /// An answer to a read, and by whose word it is one.
@@ -160,7 +160,7 @@
 ///
 /// Load pattern: all gateways were killed; until their jobs are taken over, each reader would ask the store
 /// twice a second.
-fn waits_for_owner(node: &EntryNode, job: &str, copy: &JobCopy) -> bool {
+fn waits_for_owner(node: &EntryNode, job: &str, copy: &CachedJob) -> bool {
     let now = node.clock.mono();
     let is_recent = copy.asked_at.is_some_and(|asked| now.since(asked) < STORE_ASK_PAUSE);
     if !is_recent {
@@ -188,7 +188,7 @@
         let is_sure = owned.results().len() >= total;
         return ReadState::Known(KnownLines { total, lines, is_sure, ends_object: true });
     }
-    let copy = registry.copies.get(job).cloned().unwrap_or_default();
+    let copy = registry.cache.get(job).cloned().unwrap_or_default();
     match copy.total {
         Some(total) if after < copy.lines.len() || copy.is_whole() => {
             let lines = copy.lines.get(after..).unwrap_or_default().to_vec();
@@ -209,7 +209,7 @@
     account: &str,
     after: usize,
     left: Duration,
-    mut copy: JobCopy,
+    mut copy: CachedJob,
 ) -> ReadAnswer {
     let told = node.jobs().owner(job).map(str::to_owned);
     let mut is_sure = false;
@@ -231,12 +231,16 @@
     let lines = copy.lines.get(after..).unwrap_or_default();
     let source = if is_sure || has_news { ReadSource::Told } else { ReadSource::Store };
     let answer = told_answer(node, job, total, after, lines, source);
-    node.jobs().copies.keep(job, copy);
+    node.jobs().cache.keep(job, copy);
     answer
 }
 
 /// Brings the copy of a job up to what the store holds; false when there is no such job.
-async fn ask_store(node: &EntryNode, job: &str, copy: &mut JobCopy) -> Result<bool, StoreFailure> {
+async fn ask_store(
+    node: &EntryNode,
+    job: &str,
+    copy: &mut CachedJob,
+) -> Result<bool, StoreFailure> {
     if copy.total.is_none() && !learn_job(node, job, copy).await? {
         return Ok(false);
     }
@@ -251,7 +255,7 @@
 pub(super) async fn learn_job(
     node: &EntryNode,
     job: &str,
-    copy: &mut JobCopy,
+    copy: &mut CachedJob,
 ) -> Result<bool, StoreFailure> {
     let Some(stored) = read_job(&node.store, job, StoreCallCause::ResultsRead).await? else {
         return Ok(false);
@@ -270,7 +274,7 @@
     node: &EntryNode,
     owner: &str,
     (job, account): (&str, &str),
-    copy: &mut JobCopy,
+    copy: &mut CachedJob,
     wait: Duration,
 ) -> bool {
     let held = copy.lines.len();
--- a/crates/entry/tests/copies.rs
+++ b/crates/entry/tests/job_cache.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use notch_entry::batch::copies::{JobCopies, JobCopy};
+use notch_entry::batch::job_cache::{CachedJob, JobCache};
 use notch_relay::prelude::*;
 
 fn line(id: usize, bytes: usize) -> Arc<ResultLine> {
@@ -10,8 +10,8 @@
     Arc::new(ResultLine { id: id.to_string(), state, output })
 }
 
-fn copy(lines: Vec<Arc<ResultLine>>) -> JobCopy {
-    let mut copy = JobCopy::default();
+fn copy(lines: Vec<Arc<ResultLine>>) -> CachedJob {
+    let mut copy = CachedJob::default();
     copy.total = Some(9);
     copy.extend(0, &lines, true);
     copy
@@ -23,7 +23,7 @@
 /// was a new and empty one, and the reader was answered from that.
 #[test]
 fn a_copy_dropped_meanwhile_leaves_no_gap() {
-    let mut copies = JobCopies::default();
+    let mut copies = JobCache::default();
     copies.keep("j1", copy(vec![line(0, 9), line(1, 9)]));
     let mut taken = copies.get("j1").cloned().expect("it is held");
     for other in 0..3 {
@@ -39,7 +39,7 @@
 
 #[test]
 fn a_shorter_copy_changes_nothing() {
-    let mut copies = JobCopies::default();
+    let mut copies = JobCache::default();
     copies.keep("j1", copy(vec![line(0, 9), line(1, 9)]));
     copies.keep("j1", copy(vec![line(0, 9)]));
     let held = copies.get("j1").expect("it is held");
--- a/crates/entry/tests/job_registry.rs
+++ b/crates/entry/tests/job_registry.rs
@@ -45,7 +45,7 @@
     let mut registry = JobRegistry::default();
     assert!(registry.own_job(job(&["0"])));
     registry.retire_job("j1");
-    let held = registry.copies.get("j1").expect("it is held");
+    let held = registry.cache.get("j1").expect("it is held");
     assert!(!held.is_whole(), "a write of results may be under way");
 }
 
