--- a/crates/entry/src/batch/intake.rs
+++ b/crates/entry/src/batch/intake.rs
@@ -13,8 +13,8 @@
 use crate::{
     batch::{
         limits::{self, LimitOutcome},
-        looks::{JobTrace, find_trace},
         ownership,
+        prior_submission::{PriorJob, find_prior_submission},
         records::{create_job, inline_items, part_count, read_end, read_job},
         room,
     },
@@ -155,20 +155,20 @@
 /// Refuses a job, unless another gateway took it in before without our hearing of it: it runs then, and a
 /// refusal would say that it doesn't.
 async fn refuse(node: &EntryNode, id: &str, refusal: JobRefusal, arrived: MonoTime) -> OwnAnswer {
-    let (outcome, answered) = match (find_trace(node, id).await, refusal) {
-        (JobTrace::Taken, _) => ("known", OwnAnswer::of(202)),
-        (JobTrace::None, JobRefusal::NoTime { wait }) => ("no_time", OwnAnswer::refused(wait)),
-        (JobTrace::None, JobRefusal::OverLimit { wait }) => {
+    let (outcome, answered) = match (find_prior_submission(node, id).await, refusal) {
+        (PriorJob::Accepted, _) => ("known", OwnAnswer::of(202)),
+        (PriorJob::None, JobRefusal::NoTime { wait }) => ("no_time", OwnAnswer::refused(wait)),
+        (PriorJob::None, JobRefusal::OverLimit { wait }) => {
             ("over_limit", OwnAnswer::over_limit(wait))
         }
-        (JobTrace::None, JobRefusal::LimitUnknown) => {
+        (PriorJob::None, JobRefusal::LimitUnknown) => {
             ("limit_unknown", OwnAnswer::refused(RETRY_AFTER))
         }
         // Not a refusal: nobody can say that it doesn't run.
-        (JobTrace::Unclear, _) => {
+        (PriorJob::Unclear, _) => {
             ("unclear", OwnAnswer { status: 504, ..OwnAnswer::refused(RETRY_AFTER) })
         }
-        (JobTrace::StoreAway, _) => ("store_unavailable", OwnAnswer::refused(RETRY_AFTER)),
+        (PriorJob::StoreUnavailable, _) => ("store_unavailable", OwnAnswer::refused(RETRY_AFTER)),
     };
     answer(node, id, outcome, answered, arrived)
 }
--- a/crates/entry/src/batch/job_registry.rs
+++ b/crates/entry/src/batch/job_registry.rs
@@ -6,7 +6,7 @@
 use notch_relay::prelude::*;
 use notch_types::prelude::*;
 
-use crate::batch::{job_cache::JobCache, looks::LookPace};
+use crate::batch::{job_cache::JobCache, prior_submission::LookupLimiter};
 
 /// Jobs whose progress is kept until they are taken over, at most: a gateway owns a dozen.
 const HANDED_JOBS: usize = 256;
@@ -82,7 +82,7 @@
     /// than [`STORING_SPAN`].
     storing_elsewhere: FastMap<String, MonoTime>,
     /// Looks in the store for jobs that are about to be refused.
-    pub looks: LookPace,
+    pub lookups: LookupLimiter,
     /// Work of jobs being taken in, by job.
     arriving: FastMap<String, ArrivingWork>,
 }
--- a/crates/entry/src/batch/looks.rs
+++ b/crates/entry/src/batch/prior_submission.rs
@@ -24,25 +24,25 @@
 
 /// What is known of a job that came.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum JobTrace {
+pub enum PriorJob {
     /// It was taken in.
-    Taken,
+    Accepted,
     /// It wasn't, and no gateway is about to.
     None,
     /// Nobody can say now.
     Unclear,
     /// The store doesn't answer.
-    StoreAway,
+    StoreUnavailable,
 }
 
 /// Counts looks.
 #[derive(Debug, Default)]
-pub struct LookPace {
+pub struct LookupLimiter {
     since: MonoTime,
     looks: usize,
 }
 
-impl LookPace {
+impl LookupLimiter {
     /// Whether one of `gateways` may make one more now; counts it.
     pub fn take(&mut self, gateways: usize, now: MonoTime) -> bool {
         if now.since(self.since) >= LOOKS_SPAN {
@@ -59,22 +59,22 @@
 /// A gateway tells the others of each job before its client is answered, and of each one whose storing takes
 /// long, so one that has heard all others for longer than a client tries knows the jobs that can come again;
 /// so does one that has read all jobs since it missed somebody.
-pub async fn find_trace(node: &EntryNode, job: &str) -> JobTrace {
+pub async fn find_prior_submission(node: &EntryNode, job: &str) -> PriorJob {
     let now = node.clock.mono();
     let gateways = node.peers.known_count() + 1;
     let (may_look, is_storing) = {
         let mut registry = node.jobs();
-        (registry.looks.take(gateways, now), registry.may_be_stored_elsewhere(job))
+        (registry.lookups.take(gateways, now), registry.may_be_stored_elsewhere(job))
     };
     if !may_look {
         let is_known = !is_storing && node.peers.knows_each_job(RESEND_SPAN, now);
-        return if is_known { JobTrace::None } else { JobTrace::Unclear };
+        return if is_known { PriorJob::None } else { PriorJob::Unclear };
     }
     let looking = timeout(REFUSAL_LOOK, read_job(&node.store, job, StoreCallCause::JobStored));
     match looking.await.unwrap_or(Err(StoreFailure::Unknown)) {
-        Ok(Some(_)) => JobTrace::Taken,
-        Ok(None) if is_storing => JobTrace::Unclear,
-        Ok(None) => JobTrace::None,
-        Err(_) => JobTrace::StoreAway,
+        Ok(Some(_)) => PriorJob::Accepted,
+        Ok(None) if is_storing => PriorJob::Unclear,
+        Ok(None) => PriorJob::None,
+        Err(_) => PriorJob::StoreUnavailable,
     }
 }
--- a/crates/entry/tests/looks.rs
+++ b/crates/entry/tests/prior_submission.rs
@@ -1,6 +1,6 @@
 //! How often gateways look in the store for jobs that are about to be refused.
 
-use notch_entry::batch::looks::LookPace;
+use notch_entry::batch::prior_submission::LookupLimiter;
 use notch_types::prelude::*;
 use rstest::rstest;
 
@@ -11,7 +11,7 @@
 #[case::many(27)]
 #[case::as_many_as_planned(370)]
 fn looks_stay_within_what_the_store_takes(#[case] gateways: usize) {
-    let mut paces: Vec<LookPace> = (0..gateways).map(|_| LookPace::default()).collect();
+    let mut paces: Vec<LookupLimiter> = (0..gateways).map(|_| LookupLimiter::default()).collect();
     let mut looks = 0;
     for tick in 0..1_000 {
         let now = MonoTime::from_millis(5_000 + tick);
