--- a/crates/entry/src/batch/limits.rs
+++ b/crates/entry/src/batch/limits.rs
@@ -19,7 +19,7 @@
 use crate::{
     batch::{
         job_registry::JobRegistry,
-        limit_asks::{AskedShares, ask_in_turn},
+        share_reclaim::{ReclaimedShares, reclaim_in_turn},
     },
     constants::{LIMIT_CALL, LIMIT_PATIENCE, LIMIT_ROUNDS, ROOM_TICK},
     node::EntryNode,
@@ -83,7 +83,7 @@
 /// another write is under way.
 async fn decide(node: &EntryNode, limit: &WaitingLimit, job: &str, tokens: u64) -> LimitOutcome {
     let arrived = node.clock.mono();
-    let mut asked: Option<AskedShares> = None;
+    let mut asked: Option<ReclaimedShares> = None;
     for _ in 0..LIMIT_ROUNDS {
         match take_held(node, limit, job, tokens) {
             ShareRoom::Held => return LimitOutcome::Reserved,
@@ -102,7 +102,7 @@
                     return LimitOutcome::Full { wait: wait_for(missing, asked.per_second) };
                 }
                 let is_refused = || refusal(node, limit, tokens, arrived).is_some();
-                match ask_in_turn(node, limit, is_refused).await {
+                match reclaim_in_turn(node, limit, is_refused).await {
                     Ok(answers) => asked = answers,
                     Err(_) => return LimitOutcome::Unknown,
                 }
@@ -212,7 +212,7 @@
 }
 
 /// Keeps room under every limit for the jobs that come next, until the process ends.
-pub async fn keep_room(node: Arc<EntryNode>) {
+pub async fn maintain_headroom(node: Arc<EntryNode>) {
     loop {
         let listener = node.limits.used.listen();
         // News, or the end of the pause: both lead to another look.
@@ -280,7 +280,7 @@
 }
 
 /// Another gateway has written shares.
-pub fn take_shares(node: &EntryNode, route: &str, revision: u64, table: ShareTable) {
+pub fn apply_shares(node: &EntryNode, route: &str, revision: u64, table: ShareTable) {
     with_holder(node, route, |holder, _| holder.adopt(table, revision));
 }
 
--- a/crates/entry/src/batch/limit_asks.rs
+++ b/crates/entry/src/batch/share_reclaim.rs
@@ -20,7 +20,7 @@
 };
 
 /// What the other gateways answered.
-pub(crate) struct AskedShares {
+pub(crate) struct ReclaimedShares {
     /// Revision of the table for which they were asked.
     pub(crate) revision: Option<u64>,
     /// How much ends each second, at those that answered and here.
@@ -32,11 +32,11 @@
 ///
 /// # Errors
 /// The store doesn't tell the shares.
-pub(crate) async fn ask_in_turn(
+pub(crate) async fn reclaim_in_turn(
     node: &EntryNode,
     limit: &WaitingLimit,
     is_known: impl Fn() -> bool,
-) -> Result<Option<AskedShares>, StoreFailure> {
+) -> Result<Option<ReclaimedShares>, StoreFailure> {
     let _turn = node.limits.asking.lock().await;
     if is_known() {
         return Ok(None);
@@ -51,7 +51,7 @@
 }
 
 /// Notes what is free. A table that changed meanwhile may hold shares that nobody was asked for.
-fn note_count(node: &EntryNode, limit: &WaitingLimit, asked: &AskedShares, asked_at: MonoTime) {
+fn note_count(node: &EntryNode, limit: &WaitingLimit, asked: &ReclaimedShares, asked_at: MonoTime) {
     let used = with_holder(node, &limit.name, |holder, registry| {
         let used = registry.limit_tokens(&limit.name);
         (holder.revision() == asked.revision).then(|| holder.used_by_all(used))
@@ -63,7 +63,7 @@
     node.limits.note_count(&limit.name, count);
 }
 
-async fn ask_all(node: &EntryNode, route: &str) -> AskedShares {
+async fn ask_all(node: &EntryNode, route: &str) -> ReclaimedShares {
     let revision = with_holder(node, route, |holder, _| holder.revision());
     let gateways = node.peers.linked_vms();
     let answers = join_all(gateways.iter().map(|vm| ask(node, vm, route))).await;
@@ -72,7 +72,7 @@
         per_second += answer.ended_per_second as f64;
         with_holder(node, route, |holder, _| holder.ceded(&answer.holder, answer.kept, revision));
     }
-    AskedShares { revision, per_second }
+    ReclaimedShares { revision, per_second }
 }
 
 async fn ask(node: &EntryNode, vm: &VmName, route: &str) -> Option<KeptShare> {
--- a/crates/entry/src/gateway.rs
+++ b/crates/entry/src/gateway.rs
@@ -108,7 +108,7 @@
     task::spawn(runner::run_jobs(Arc::clone(node)));
     task::spawn(takeover::watch_owners(Arc::clone(node)));
     task::spawn(liveness::probe_silent(Arc::clone(node)));
-    task::spawn(limits::keep_room(Arc::clone(node)));
+    task::spawn(limits::maintain_headroom(Arc::clone(node)));
     task::spawn(freshness::keep_fresh(Arc::clone(node)));
     task::spawn(retention::delete_old_jobs(Arc::clone(node)));
     task::spawn(retirements::answer_retirements(Arc::clone(node)));
--- a/crates/entry/src/peers/hub.rs
+++ b/crates/entry/src/peers/hub.rs
@@ -232,7 +232,7 @@
             node.peers.share_calls.answer(call, KeptShare { holder, kept, ended_per_second });
         }
         PeerMessage::Shares { limit, revision, table } => {
-            limits::take_shares(node, &limit, revision, table);
+            limits::apply_shares(node, &limit, revision, table);
         }
         PeerMessage::StoreAnswer { call, end } => node.peers.store_calls.answer(call, end),
         PeerMessage::PlaceAsk { call, service, avoid, may_displace } => {
