--- a/crates/entry/src/batch.rs
+++ b/crates/entry/src/batch.rs
@@ -3,6 +3,7 @@
 pub mod bodies;
 pub mod closing;
 pub mod commits;
+pub mod deadline_admission;
 pub mod ends;
 pub mod intake;
 pub mod item_run;
@@ -16,7 +17,6 @@
 pub mod reads;
 pub mod records;
 pub mod retention;
-pub mod room;
 pub mod runner;
 pub mod share_reclaim;
 pub mod stored_jobs;
--- a/crates/entry/src/batch/room.rs
+++ b/crates/entry/src/batch/deadline_admission.rs
@@ -22,7 +22,7 @@
 /// What goes wrong without it: in a burst of many times the usual jobs all are accepted, nearly all end late
 /// or never, and readers can't get through them. One would notice `item_run_started` with a `due_ms` far
 /// below 0.
-pub fn take(node: &EntryNode, route: &Route, spec: &Arc<JobSpec>) -> Result<(), Duration> {
+pub fn admit(node: &EntryNode, route: &Route, spec: &Arc<JobSpec>) -> Result<(), Duration> {
     let now = node.clock.mono();
     let mut registry = node.jobs();
     let job = DueWork { due: now + spec.terms.due, work: registry.board.work_of(spec) };
@@ -44,10 +44,10 @@
 ) -> Option<Duration> {
     let works = registry.works(now);
     route.parts().find_map(|(service, part)| {
-        let own = own_demand(node, &works, service);
+        let own = local_demand(node, &works, service);
         let mut intake = node.intake();
         let demand = WorkDemand::joined(intake.demands(service).chain([&own]));
-        let places = intake.places(service) * own_part(node, now);
+        let places = intake.places(service) * capacity_share(node, now);
         let job = DueWork { work: job.work.mul_f64(part), ..job };
         let wait = IntakeForecast { demand: &demand, places }.refusal(job, now)?;
         // A line for each would be thousands a second.
@@ -73,13 +73,13 @@
 
 /// The part of the places that this gateway may fill: all of them, as it knows what waits at the others. One that has
 /// just started doesn't yet, and would take in all that comes.
-fn own_part(node: &EntryNode, now: MonoTime) -> f64 {
+fn capacity_share(node: &EntryNode, now: MonoTime) -> f64 {
     let is_new = now.since(MonoTime::default()) < DEMAND_UNHEARD && !node.peers.hears_all(now);
     if is_new { 1.0 / (node.peers.known_count() + 1) as f64 } else { 1.0 }
 }
 
 /// What waits for a service here, of jobs owned and of those being taken in.
-fn own_demand(node: &EntryNode, works: &[(&str, DueWork)], service: &str) -> WorkDemand {
+fn local_demand(node: &EntryNode, works: &[(&str, DueWork)], service: &str) -> WorkDemand {
     let Some(routes) = node.routes() else { return WorkDemand::default() };
     let part_of = |name: &str| {
         let route = routes.routes().find(|route| route.name == name)?;
@@ -95,7 +95,7 @@
 }
 
 /// What waits here for each service that a batch route names.
-pub fn own_demands(node: &EntryNode, now: MonoTime) -> FastMap<String, WorkDemand> {
+pub fn local_demands(node: &EntryNode, now: MonoTime) -> FastMap<String, WorkDemand> {
     let Some(routes) = node.routes() else { return FastMap::default() };
     let registry = node.jobs();
     let works = registry.works(now);
@@ -105,7 +105,8 @@
     let batch = routes.routes().filter(|route| route.kind == RouteKind::Batch);
     let services: FastSet<&str> =
         batch.flat_map(|route| route.parts().map(|(service, _)| service)).collect();
-    let demands =
-        services.into_iter().map(|service| (service.to_owned(), own_demand(node, &works, service)));
+    let demands = services
+        .into_iter()
+        .map(|service| (service.to_owned(), local_demand(node, &works, service)));
     demands.filter(|(_, demand)| !demand.works().is_empty()).collect()
 }
--- a/crates/entry/src/batch/intake.rs
+++ b/crates/entry/src/batch/intake.rs
@@ -12,11 +12,11 @@
 
 use crate::{
     batch::{
+        deadline_admission,
         limits::{self, LimitOutcome},
         ownership,
         prior_submission::{PriorJob, find_prior_submission},
         records::{create_job, inline_items, part_count, read_end, read_job},
-        room,
     },
     constants::{
         INTAKE_PATIENCE, JOB_BYTES, RETRY_AFTER, RETRY_AFTER_START, STORE_PAUSE, STORING_QUIET,
@@ -83,7 +83,7 @@
     let Some(terms) = route.job_terms else {
         return answer(node, id, "not_a_batch_route", OwnAnswer::of(400), arrived);
     };
-    if let Some(wait) = room::refusal(node, route, terms.due) {
+    if let Some(wait) = deadline_admission::refusal(node, route, terms.due) {
         return refuse(node, id, JobRefusal::NoTime { wait }, arrived).await;
     }
     let Ok(text) = items_text(body) else {
@@ -117,7 +117,7 @@
 
 /// Counts a job that is being taken in, if there is time for it and it fits under its route's limit.
 async fn admit(node: &EntryNode, route: &Route, spec: &Arc<JobSpec>) -> Result<(), JobRefusal> {
-    room::take(node, route, spec).map_err(|wait| JobRefusal::NoTime { wait })?;
+    deadline_admission::admit(node, route, spec).map_err(|wait| JobRefusal::NoTime { wait })?;
     let limit = WaitingLimit::of(route, &spec.account);
     match limits::reserve(node, &limit, &spec.id, spec.limit_tokens()).await {
         LimitOutcome::Reserved => Ok(()),
--- a/crates/entry/src/peers/demands.rs
+++ b/crates/entry/src/peers/demands.rs
@@ -8,7 +8,7 @@
 use notch_types::prelude::*;
 
 use crate::{
-    batch::room,
+    batch::deadline_admission,
     constants::{DEMAND_EVERY, DEMAND_IDLE, DEMAND_PAUSE},
     node::EntryNode,
 };
@@ -44,7 +44,7 @@
         let listener = node.jobs_taken.listen();
         let now = node.clock.mono();
         note_places(&node, now);
-        let demands = room::own_demands(&node, now);
+        let demands = deadline_admission::local_demands(&node, now);
         let total = demands.values().map(WorkDemand::total).sum();
         if last.is_due(total, has_new_job, now) {
             node.peers.broadcast(&message(&node, &demands, now));
@@ -59,7 +59,7 @@
 /// What work waits here now, for a gateway that has just come: one that knows of none would take any job in.
 pub fn demand(node: &EntryNode) -> PeerMessage {
     let now = node.clock.mono();
-    message(node, &room::own_demands(node, now), now)
+    message(node, &deadline_admission::local_demands(node, now), now)
 }
 
 fn message(node: &EntryNode, demands: &FastMap<String, WorkDemand>, now: MonoTime) -> PeerMessage {
