--- a/crates/entry/src/batch.rs
+++ b/crates/entry/src/batch.rs
@@ -13,7 +13,7 @@
 pub mod limits;
 pub mod ownership;
 pub mod prior_submission;
-pub mod read_tally;
+pub mod read_latency;
 pub mod reads;
 pub mod records;
 pub mod retention;
--- a/crates/entry/src/batch/bodies.rs
+++ b/crates/entry/src/batch/bodies.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     batch::{
-        read_tally::{ReadKind, ReadSource},
+        read_latency::{ReadKind, ReadSource},
         reads::{ReadAnswer, learn_job, note_read, unsure},
     },
     constants::BODY_ASK,
--- a/crates/entry/src/batch/read_tally.rs
+++ b/crates/entry/src/batch/read_latency.rs
@@ -49,13 +49,13 @@
 
 /// Reads of one kind, answered by one word.
 #[derive(Debug, Clone, Copy, Default)]
-struct ReadTally {
+struct ReadLatency {
     count: u32,
     took: Duration,
     longest: Duration,
 }
 
-impl Display for ReadTally {
+impl Display for ReadLatency {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mean = self.took / self.count.max(1);
         let (mean, longest) = (mean.as_millis(), self.longest.as_millis());
@@ -72,11 +72,11 @@
 
 /// Reads since they were logged last.
 #[derive(Debug, Default)]
-pub struct ReadTallies {
-    tallies: Mutex<[[ReadTally; 5]; 3]>,
+pub struct ReadLatencies {
+    tallies: Mutex<[[ReadLatency; 5]; 3]>,
 }
 
-impl ReadTallies {
+impl ReadLatencies {
     /// A read took so long.
     pub fn note(&self, kind: ReadKind, source: ReadSource, took: Duration) {
         let mut tallies = self.tallies.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/entry/src/batch/reads.rs
+++ b/crates/entry/src/batch/reads.rs
@@ -13,7 +13,7 @@
     batch::{
         job_cache::CachedJob,
         ownership,
-        read_tally::{ReadKind, ReadSource},
+        read_latency::{ReadKind, ReadSource},
         records::{read_job, read_results as stored_results, read_spec},
     },
     constants::{ASK_GRACE, ASK_WAIT, RESULT_PAGE_BYTES, RETRY_AFTER, STORE_ASK_PAUSE},
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -18,7 +18,9 @@
 
 use crate::{
     accounts::state::AccountState,
-    batch::{job_registry::JobRegistry, limit_registry::LimitRegistry, read_tally::ReadTallies},
+    batch::{
+        job_registry::JobRegistry, limit_registry::LimitRegistry, read_latency::ReadLatencies,
+    },
     clock::NodeClock,
     constants::WATCHERS,
     peers::{
@@ -62,7 +64,7 @@
     /// Client accounts.
     pub accounts: AccountState,
     /// How long reads of jobs took.
-    pub reads: ReadTallies,
+    pub reads: ReadLatencies,
     /// Idle connections to targets.
     pub pool: TargetPool,
     /// The other gateways.
@@ -117,7 +119,7 @@
             watch: WatchDuty::default(),
             limits: LimitRegistry::default(),
             accounts: AccountState::new(&config.accounts),
-            reads: ReadTallies::default(),
+            reads: ReadLatencies::default(),
             pool: TargetPool::default(),
             peers: PeerTable::new(traffic),
             stop: StopState::default(),
