--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -33,9 +33,9 @@
         call_counts::StoreCallCounts,
         client::StoreClient,
         configuration::{ConfigurationInForce, newer_configuration},
-        detour::DetourCall,
         duty::WatchDuty,
         feed_event::FeedEvent,
+        forwarding::ForwardedCall,
         target::{TargetChange, TargetFeed},
     },
     target::{connection::TargetConnection, pool::TargetPool},
@@ -96,7 +96,7 @@
 impl EntryNode {
     /// A node that knows nothing yet, and the calls to the store that another gateway should make
     /// for it.
-    pub fn new(config: EntryConfig) -> (Self, Receiver<DetourCall>) {
+    pub fn new(config: EntryConfig) -> (Self, Receiver<ForwardedCall>) {
         let clock = NodeClock::start();
         let log = NodeLog::new(&config.node.vm, &config.node.domain);
         let metrics = Metrics::new(&config.node.vm, &config.node.domain);
--- a/crates/entry/src/peers/detours.rs
+++ b/crates/entry/src/peers/detours.rs
@@ -13,21 +13,21 @@
     peers::calls::CallEnd,
     store::{
         call_cause::StoreCallCause,
-        detour::DetourCall,
+        forwarding::ForwardedCall,
         reply::{StoreFailure, StoreReply},
     },
 };
 
 /// Passes calls on to gateways that follow the store, until the process ends.
-pub async fn pass_calls(node: Arc<EntryNode>, calls: Receiver<DetourCall>) {
+pub async fn pass_calls(node: Arc<EntryNode>, calls: Receiver<ForwardedCall>) {
     while let Ok(call) = calls.recv().await {
         let node = Arc::clone(&node);
         task::spawn(async move { pass_call(&node, call).await });
     }
 }
 
-async fn pass_call(node: &EntryNode, call: DetourCall) {
-    let DetourCall { method, path, body, wait, end } = call;
+async fn pass_call(node: &EntryNode, call: ForwardedCall) {
+    let ForwardedCall { method, path, body, wait, end } = call;
     let outcome = match node.peers.follower(EntryNode::draw()) {
         Some(vm) => ask(node, &vm, (method, path, body), wait).await,
         None => None,
--- a/crates/entry/src/store/client.rs
+++ b/crates/entry/src/store/client.rs
@@ -18,7 +18,7 @@
     store::{
         call_cause::StoreCallCause,
         call_counts::StoreCallCounts,
-        detour::{CallWay, DetourCall, DetourState},
+        forwarding::{CallRouting, ForwardedCall, ForwardingState},
         outage::{OutageChange, StoreOutage},
         reply::{StoreFailure, StoreReply},
     },
@@ -40,9 +40,9 @@
     settings: Mutex<StoreSettings>,
     idle: Mutex<Vec<WireReader>>,
     outage: Mutex<StoreOutage>,
-    detour: Mutex<DetourState>,
+    detour: Mutex<ForwardingState>,
     /// Calls to be made by another gateway; nobody receives them where there is none.
-    detours: Sender<DetourCall>,
+    detours: Sender<ForwardedCall>,
     clock: NodeClock,
     log: NodeLog,
     calls: StoreCallCounts,
@@ -56,7 +56,7 @@
         clock: NodeClock,
         log: NodeLog,
         calls: StoreCallCounts,
-    ) -> (Self, Receiver<DetourCall>) {
+    ) -> (Self, Receiver<ForwardedCall>) {
         let (detours, detour_calls) = async_channel::bounded(DETOURS_WAITING);
         let client = Self {
             settings: Mutex::new(settings),
@@ -131,13 +131,13 @@
     ) -> Result<StoreReply, StoreFailure> {
         let down_since = self.outage().down_since();
         let way = self.detour_state().way(down_since, self.clock.mono());
-        if way == CallWay::Detour
+        if way == CallRouting::Forwarded
             && let Some(result) = self.call_by_another(method, path, body, wait).await
         {
             return result;
         }
         let result = self.call_directly(cause, method, path, body, wait).await;
-        if way == CallWay::DirectFirst
+        if way == CallRouting::DirectFirst
             && matches!(result, Err(StoreFailure::NotDone))
             && let Some(detoured) = self.call_by_another(method, path, body, wait).await
         {
@@ -157,7 +157,7 @@
         let (end, ended) = async_channel::bounded(1);
         let (method, path) = (method.to_owned(), path.to_owned());
         let body = body.map(<[u8]>::to_vec);
-        let call = DetourCall { method, path, body, wait, end };
+        let call = ForwardedCall { method, path, body, wait, end };
         let result = match self.detours.try_send(call) {
             Ok(()) => ended.recv().await.ok().flatten(),
             Err(_) => None,
@@ -167,7 +167,7 @@
         result
     }
 
-    fn detour_state(&self) -> MutexGuard<'_, DetourState> {
+    fn detour_state(&self) -> MutexGuard<'_, ForwardingState> {
         self.detour.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/crates/entry/src/store/detour.rs
+++ b/crates/entry/src/store/forwarding.rs
@@ -16,7 +16,7 @@
 
 /// One call to be made by another gateway.
 #[derive(Debug)]
-pub struct DetourCall {
+pub struct ForwardedCall {
     /// Method of the call.
     pub method: String,
     /// Its path.
@@ -31,37 +31,37 @@
 
 /// Which way a call goes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CallWay {
+pub enum CallRouting {
     /// From this VM.
     Direct,
     /// From this VM, and through another gateway if it is turned away.
     DirectFirst,
     /// Through another gateway, and from this VM if none can be asked.
-    Detour,
+    Forwarded,
 }
 
 /// Whether calls go through another gateway.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct DetourState {
+pub struct ForwardingState {
     /// When a call is tried directly again.
     direct_at: MonoTime,
     /// No other gateway could help: not asked again before then.
     useless_until: MonoTime,
 }
 
-impl DetourState {
+impl ForwardingState {
     /// Which way a call at `now` goes. `down_since` is when the store stopped answering directly.
-    pub fn way(&mut self, down_since: Option<MonoTime>, now: MonoTime) -> CallWay {
-        let Some(since) = down_since else { return CallWay::Direct };
+    pub fn way(&mut self, down_since: Option<MonoTime>, now: MonoTime) -> CallRouting {
+        let Some(since) = down_since else { return CallRouting::Direct };
         if now.since(since) < DETOUR_AFTER || now < self.useless_until {
-            return CallWay::Direct;
+            return CallRouting::Direct;
         }
         // Nothing else tells that the store answers again: its watches may wait for half a minute.
         if now >= self.direct_at {
             self.direct_at = now + DETOUR_LONGEST;
-            return CallWay::DirectFirst;
+            return CallRouting::DirectFirst;
         }
-        CallWay::Detour
+        CallRouting::Forwarded
     }
 
     /// Another gateway was asked at `now`, and whether that helped.
