--- a/crates/entry/src/batch/ends.rs
+++ b/crates/entry/src/batch/ends.rs
@@ -78,7 +78,7 @@
 /// Follows ends of jobs in the store: the gateway that owns a job may be out of touch with the one
 /// that the client told.
 pub async fn follow_ends(node: Arc<EntryNode>) {
-    let plan = FeedPlan { duty: Some(&node), ..FeedPlan::default() };
+    let plan = FeedPlan { watcher: Some(&node), ..FeedPlan::default() };
     follow(&node.store, END_KIND, plan, |event| match event {
         FeedEvent::Snapshot { objects, .. } => {
             for object in &objects {
--- a/crates/entry/src/gateway.rs
+++ b/crates/entry/src/gateway.rs
@@ -143,7 +143,7 @@
 }
 
 async fn follow_configuration(node: Arc<EntryNode>) {
-    let plan = FeedPlan { duty: Some(&node), ..FeedPlan::default() };
+    let plan = FeedPlan { watcher: Some(&node), ..FeedPlan::default() };
     follow(&node.store, CONFIGURATION_KIND, plan, |event| {
         let (objects, listed) = match &event {
             FeedEvent::Snapshot { objects, asked, .. } => (objects.as_slice(), Some(*asked)),
@@ -162,7 +162,7 @@
 }
 
 async fn follow_targets(node: Arc<EntryNode>) {
-    let plan = FeedPlan { duty: Some(&node), ..FeedPlan::default() };
+    let plan = FeedPlan { watcher: Some(&node), ..FeedPlan::default() };
     follow(&node.store, TARGET_KIND, plan, |event| node.take_target_event(event)).await;
 }
 
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -33,9 +33,9 @@
         call_counts::StoreCallCounts,
         client::StoreClient,
         configuration::{ConfigurationInForce, newer_configuration},
-        duty::WatchDuty,
         feed_event::FeedEvent,
         forwarding::ForwardedCall,
+        live_feeds::LiveFeeds,
         target::{TargetChange, TargetFeed},
     },
     target::{connection::TargetConnection, pool::TargetPool},
@@ -58,7 +58,7 @@
     /// The store.
     pub store: StoreClient,
     /// Whether this gateway follows the store.
-    pub watch: WatchDuty,
+    pub watch: LiveFeeds,
     /// This gateway's part in limits on waiting jobs.
     pub limits: LimitRegistry,
     /// Client accounts.
@@ -116,7 +116,7 @@
             clock,
             log,
             metrics,
-            watch: WatchDuty::default(),
+            watch: LiveFeeds::default(),
             limits: LimitRegistry::default(),
             accounts: AccountState::new(&config.accounts),
             reads: ReadLatencies::default(),
--- a/crates/entry/src/peers/hub.rs
+++ b/crates/entry/src/peers/hub.rs
@@ -47,7 +47,8 @@
     register(&node).await;
     let sink = link_sink(&node);
     let entries = Some(&node.peers.entries);
-    let feed = FeedPlan { pause: GATEWAY_WATCH_PAUSE, answered: entries, ..FeedPlan::default() };
+    let feed =
+        FeedPlan { pause: GATEWAY_WATCH_PAUSE, answer_clock: entries, ..FeedPlan::default() };
     follow(&node.store, GATEWAY_KIND, feed, |event| match event {
         FeedEvent::Snapshot { objects, .. } => {
             for object in &objects {
--- a/crates/entry/src/retirements.rs
+++ b/crates/entry/src/retirements.rs
@@ -33,7 +33,8 @@
 /// Answers requests to empty a VM, until the process ends.
 pub async fn answer_retirements(node: Arc<EntryNode>) {
     let answered = AnsweredVms::default();
-    let plan = FeedPlan { duty: Some(&node), start: FeedStart::OnDuty, ..FeedPlan::default() };
+    let plan =
+        FeedPlan { watcher: Some(&node), start: FeedStart::WhenRequired, ..FeedPlan::default() };
     follow(&node.store, RETIREMENT_KIND, plan, |event| match event {
         FeedEvent::Snapshot { objects, .. } => {
             objects.iter().for_each(|object| take_request(&node, &answered, object));
--- a/crates/entry/src/store/feed.rs
+++ b/crates/entry/src/store/feed.rs
@@ -35,9 +35,9 @@
 pub enum FeedStart {
     /// At once: the gateway needs it, whether or not it follows it later.
     #[default]
-    AtOnce,
+    Immediate,
     /// When it's this gateway's duty, after others have had the time to begin theirs.
-    OnDuty,
+    WhenRequired,
 }
 
 /// How a kind is followed.
@@ -46,23 +46,23 @@
     /// Least time between two answers of a watch.
     pub pause: Duration,
     /// The gateway whose duty it is, or isn't while enough others follow; `None` for always.
-    pub duty: Option<&'a EntryNode>,
+    pub watcher: Option<&'a EntryNode>,
     /// When it is listed first.
     pub start: FeedStart,
     /// Told of each answer, where it matters how old the knowledge is.
-    pub answered: Option<&'a FeedClock>,
+    pub answer_clock: Option<&'a FeedClock>,
 }
 
 impl FeedPlan<'_> {
     /// Waits until it's this gateway's duty to follow the kind.
-    async fn await_duty(&self) {
-        while self.duty.is_some_and(|node| !node.must_watch()) {
+    async fn wait_until_required(&self) {
+        while self.watcher.is_some_and(|node| !node.must_watch()) {
             task::sleep(DUTY_TICK).await;
         }
     }
 
     fn note_answer(&self, store: &StoreClient) {
-        if let Some(clock) = self.answered {
+        if let Some(clock) = self.answer_clock {
             clock.note_answer(store.now());
         }
     }
@@ -79,13 +79,13 @@
     mut tell: impl FnMut(FeedEvent<'_>),
 ) {
     // Others rely on what is followed from the start on.
-    let counted = plan.duty.filter(|_| plan.start == FeedStart::AtOnce);
+    let counted = plan.watcher.filter(|_| plan.start == FeedStart::Immediate);
     if let Some(node) = counted {
         node.watch.add_feed();
     }
-    if plan.start == FeedStart::OnDuty {
+    if plan.start == FeedStart::WhenRequired {
         task::sleep(DUTY_START).await;
-        plan.await_duty().await;
+        plan.wait_until_required().await;
     }
     let mut failures = 0;
     loop {
@@ -103,7 +103,7 @@
                 failures = LONGEST_BACKOFF.min(failures + 1);
             }
         }
-        plan.await_duty().await;
+        plan.wait_until_required().await;
     }
 }
 
@@ -160,7 +160,7 @@
     tell: &mut impl FnMut(FeedEvent<'_>),
 ) {
     loop {
-        if plan.duty.is_some_and(|node| !node.must_watch()) {
+        if plan.watcher.is_some_and(|node| !node.must_watch()) {
             return;
         }
         task::sleep(plan.pause).await;
