--- a/crates/entry/src/batch/bodies.rs
+++ b/crates/entry/src/batch/bodies.rs
@@ -115,7 +115,7 @@
 }
 
 /// Takes another gateway's answer.
-pub fn take_told(node: &EntryNode, call: u64, is_known: bool, body: Option<Payload>) {
+pub fn receive_body(node: &EntryNode, call: u64, is_known: bool, body: Option<Payload>) {
     node.peers.body_calls.answer(call, ToldBody { is_known, body });
 }
 
--- a/crates/entry/src/batch/ends.rs
+++ b/crates/entry/src/batch/ends.rs
@@ -45,7 +45,7 @@
     // Nothing runs once the client may take it as ended, whatever becomes of the answer.
     match store_end(&node.store, job).await {
         Ok(()) => {
-            take_end(node, job, "client");
+            apply_job_end(node, job, "client");
             node.peers.broadcast(&PeerMessage::JobEnded(job.to_owned()));
             answer(node, job, "ended", OwnAnswer::of(200))
         }
@@ -54,7 +54,7 @@
 }
 
 /// A job's end is stored: nothing of it runs here any more.
-pub fn take_end(node: &EntryNode, job: &str, source: &str) {
+pub fn apply_job_end(node: &EntryNode, job: &str, source: &str) {
     let now = node.clock.mono();
     let mut registry = node.jobs();
     if !registry.note_ended(job, now) {
@@ -82,10 +82,10 @@
     follow(&node.store, END_KIND, plan, |event| match event {
         FeedEvent::Snapshot { objects, .. } => {
             for object in &objects {
-                take_end(&node, &object.metadata.name, "store");
+                apply_job_end(&node, &object.metadata.name, "store");
             }
         }
-        FeedEvent::Changed { object } => take_end(&node, &object.metadata.name, "store"),
+        FeedEvent::Changed { object } => apply_job_end(&node, &object.metadata.name, "store"),
         FeedEvent::Deleted { .. } => {}
     })
     .await;
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -289,7 +289,7 @@
                         Err(error) => changes.extend(self.refuse_target(&mut feed, object, &error)),
                     }
                 }
-                changes.extend(feed.take_list(entries, as_of, lapsed_until, now));
+                changes.extend(feed.apply_list(entries, as_of, lapsed_until, now));
                 changes
             }
             FeedEvent::Changed { object } => {
--- a/crates/entry/src/peers/hub.rs
+++ b/crates/entry/src/peers/hub.rs
@@ -198,7 +198,7 @@
         PeerMessage::JobClosed(job) => {
             node.jobs().note_closed(&job, node.clock.mono());
         }
-        PeerMessage::JobEnded(job) => ends::take_end(node, &job, "gateway"),
+        PeerMessage::JobEnded(job) => ends::apply_job_end(node, &job, "gateway"),
         PeerMessage::JobAsk { call, job, account, after, wait_ms } => {
             let node = Arc::clone(node);
             let vm = peer.vm.clone();
@@ -214,7 +214,7 @@
             bodies::answer_peer(node, &peer.vm, call, (&job, &item), &account);
         }
         PeerMessage::BodyTold { call, is_known, body } => {
-            bodies::take_told(node, call, is_known, body);
+            bodies::receive_body(node, call, is_known, body);
         }
         PeerMessage::JobProgress { job, items } => node.jobs().keep_progress(&job, items),
         PeerMessage::RequestBroke { fingerprint, target } => {
@@ -317,7 +317,7 @@
     node.peers.catch_up().note_part(is_last, now);
     if let Some(changes) = targets {
         let mut feed = node.target_feed();
-        let changes = feed.take_changes(changes, now);
+        let changes = feed.apply_changes(changes, now);
         let revision = feed.revision();
         drop(feed);
         node.apply_target_changes(changes, peer.vm.as_str(), revision);
--- a/crates/entry/src/store/target.rs
+++ b/crates/entry/src/store/target.rs
@@ -207,7 +207,7 @@
     }
 
     /// A whole list as of a revision: what it doesn't name was gone by then.
-    pub fn take_list(
+    pub fn apply_list(
         &mut self,
         entries: Vec<(TargetEntry, u64)>,
         as_of: u64,
@@ -279,7 +279,7 @@
     ///
     /// Changes since a later revision than is known here would hide those in between, so they aren't
     /// taken: the versions in the other's reports tell that something is missing.
-    pub fn take_changes(&mut self, changes: TargetChanges, now: MonoTime) -> Vec<TargetChange> {
+    pub fn apply_changes(&mut self, changes: TargetChanges, now: MonoTime) -> Vec<TargetChange> {
         let Some(whole) = self.parts.add(changes) else { return Vec::new() };
         if whole.since > self.known_since() {
             return Vec::new();
@@ -287,13 +287,13 @@
         let entries = whole.entries.into_iter().map(|told| (told.entry, told.revision)).collect();
         if whole.since == 0 {
             // A gateway that still waits for lapsed entries lists them: what it doesn't list has left.
-            return self.take_list(entries, whole.as_of, MonoTime::default(), now);
+            return self.apply_list(entries, whole.as_of, MonoTime::default(), now);
         }
         let gone = whole.gone.into_iter().filter(|gone| !self.is_later_start(gone));
         let gone: Vec<GoneTarget> = gone.collect();
         let mut taken: Vec<TargetChange> =
             entries.into_iter().filter_map(|(entry, revision)| self.put(entry, revision)).collect();
-        let removed = gone.into_iter().filter_map(|gone| self.take_gone(gone, now));
+        let removed = gone.into_iter().filter_map(|gone| self.apply_removal(gone, now));
         taken.extend(removed);
         self.revision = self.revision.max(whole.as_of);
         taken
@@ -301,7 +301,7 @@
 
     /// Takes another gateway's word that an entry is gone. One that was never known here is remembered all
     /// the same: a gateway that asks for changes may know it.
-    fn take_gone(&mut self, gone: GoneTarget, now: MonoTime) -> Option<TargetChange> {
+    fn apply_removal(&mut self, gone: GoneTarget, now: MonoTime) -> Option<TargetChange> {
         let GoneTarget { name, born, revision } = gone;
         if self.known.contains_key(&name) {
             return self.remove(&name, revision, MonoTime::default(), now);
--- a/crates/entry/tests/target_feed.rs
+++ b/crates/entry/tests/target_feed.rs
@@ -31,12 +31,12 @@
 }
 
 fn take_all(feed: &mut TargetFeed, parts: Vec<TargetChanges>) -> Vec<TargetChange> {
-    parts.into_iter().flat_map(|part| feed.take_changes(part, NOW)).collect()
+    parts.into_iter().flat_map(|part| feed.apply_changes(part, NOW)).collect()
 }
 
 fn whole_feed() -> TargetFeed {
     let mut feed = TargetFeed::default();
-    feed.take_list(Vec::new(), 1, NO_LAPSE, NOW);
+    feed.apply_list(Vec::new(), 1, NO_LAPSE, NOW);
     feed
 }
 
@@ -67,7 +67,7 @@
     assert_eq!(feed.put(started(2_000), 9), Some(restart));
     assert_eq!(feed.put(started(1_000), 7), None, "an older word");
     assert_eq!(feed.put(started(1_000), 12), None, "a write of the earlier start, done late");
-    assert_eq!(feed.take_list(vec![(started(1_000), 12)], 14, NO_LAPSE, NOW), []);
+    assert_eq!(feed.apply_list(vec![(started(1_000), 12)], 14, NO_LAPSE, NOW), []);
     assert_eq!(told_whole(&feed).iter().map(|t| t.entry.born).collect::<Vec<_>>(), [2_000]);
     let gone = feed.remove("t1", 20, NO_LAPSE, NOW);
     assert_eq!(gone, Some(TargetChange::Remove("t1#2000".to_owned())));
@@ -106,7 +106,7 @@
 fn what_a_list_leaves_out_is_gone() {
     let mut feed = TargetFeed::default();
     feed.put(entry("t1"), 5);
-    let changes = feed.take_list(vec![(entry("t2"), 6)], 8, NO_LAPSE, NOW);
+    let changes = feed.apply_list(vec![(entry("t2"), 6)], 8, NO_LAPSE, NOW);
     let expected = [TargetChange::Put(entry("t2")), TargetChange::Remove("t1".to_owned())];
     assert_eq!(changes, expected);
     assert!(feed.is_whole());
@@ -116,7 +116,7 @@
 fn a_lapsed_entry_stays_until_it_counts_as_gone() {
     let mut feed = TargetFeed::default();
     feed.put(entry("t1"), 5);
-    assert_eq!(feed.take_list(Vec::new(), 8, LAPSE_END, NOW), []);
+    assert_eq!(feed.apply_list(Vec::new(), 8, LAPSE_END, NOW), []);
     assert_eq!(feed.expire(NOW), []);
     assert_eq!(feed.expire(LAPSE_END), [TargetChange::Remove("t1".to_owned())]);
 }
@@ -132,7 +132,7 @@
     turned_away.put(entry("t1"), 7);
     in_touch.put(entry("t1"), 7);
     in_touch.remove("t1", 86, NO_LAPSE, NOW);
-    turned_away.take_list(Vec::new(), 89, LAPSE_END, NOW);
+    turned_away.apply_list(Vec::new(), 89, LAPSE_END, NOW);
     let told = turned_away.changes_since(in_touch.known_since());
     assert_eq!(take_all(&mut in_touch, told), []);
     assert_eq!(take_all(&mut in_touch, turned_away.changes_since(0)), [], "nor in a whole list");
--- a/crates/entry/tests/target_spread.rs
+++ b/crates/entry/tests/target_spread.rs
@@ -35,7 +35,7 @@
 fn filled_feed(targets: u64) -> TargetFeed {
     let mut feed = TargetFeed::default();
     let entries = (0..targets).map(|number| (entry(number, TargetState::Ready), number + 1));
-    feed.take_list(entries.collect(), targets, NO_LAPSE, MonoTime(0));
+    feed.apply_list(entries.collect(), targets, NO_LAPSE, MonoTime(0));
     feed
 }
 
@@ -64,7 +64,7 @@
     assert!(largest < 1_000, "{largest} bytes");
     for feed in &mut gateways {
         let changes: Vec<_> =
-            parts.iter().flat_map(|part| feed.take_changes(part.clone(), MonoTime(0))).collect();
+            parts.iter().flat_map(|part| feed.apply_changes(part.clone(), MonoTime(0))).collect();
         assert!(!changes.is_empty());
         assert_eq!(versions(feed), versions(&follower));
     }
@@ -80,7 +80,7 @@
     let mut receiver = TargetFeed::default();
     for part in parts {
         assert!(!receiver.is_whole(), "not before the last part");
-        receiver.take_changes(part, MonoTime(0));
+        receiver.apply_changes(part, MonoTime(0));
     }
     assert_eq!(versions(&receiver), versions(&sender));
 }
@@ -92,7 +92,7 @@
     sender.remove(&entry(3, TargetState::Ready).name, 40, NO_LAPSE, MonoTime(0));
     let mut receiver = TargetFeed::default();
     for part in sender.changes_since(0) {
-        receiver.take_changes(part, MonoTime(0));
+        receiver.apply_changes(part, MonoTime(0));
     }
     assert_eq!(versions(&receiver), versions(&sender));
 }
@@ -105,10 +105,10 @@
     last.put(entry(50, TargetState::Ready), 20);
     source.remove(&entry(50, TargetState::Ready).name, 30, NO_LAPSE, MonoTime(0));
     for part in source.changes_since(middle.known_since()) {
-        middle.take_changes(part, MonoTime(0));
+        middle.apply_changes(part, MonoTime(0));
     }
     for part in middle.changes_since(last.known_since()) {
-        last.take_changes(part, MonoTime(0));
+        last.apply_changes(part, MonoTime(0));
     }
     assert_eq!(versions(&last), versions(&source));
 }
@@ -121,11 +121,11 @@
     let told = source.known_since();
     source.put(entry(2, TargetState::Draining), 21);
     for part in source.changes_since(told) {
-        assert_eq!(behind.take_changes(part, MonoTime(0)), []);
+        assert_eq!(behind.apply_changes(part, MonoTime(0)), []);
     }
     assert_eq!(behind.known_since(), 10, "so that it asks");
     for part in source.changes_since(behind.known_since()) {
-        behind.take_changes(part, MonoTime(0));
+        behind.apply_changes(part, MonoTime(0));
     }
     assert_eq!(versions(&behind), versions(&source));
 }
@@ -210,7 +210,7 @@
 
 fn ask(feeds: &mut [TargetFeed], from: usize, of: usize) {
     for part in feeds[of].changes_since(feeds[from].known_since()) {
-        feeds[from].take_changes(part, MonoTime(0));
+        feeds[from].apply_changes(part, MonoTime(0));
     }
 }
 
@@ -238,7 +238,7 @@
                     let parts = feeds[0].changes_since(told);
                     told = feeds[0].known_since();
                     for part in std::iter::repeat_n(parts, copies).flatten() {
-                        feeds[to].take_changes(part, MonoTime(0));
+                        feeds[to].apply_changes(part, MonoTime(0));
                     }
                 }
                 SpreadStep::Ask { from, of } if from != of => ask(&mut feeds, from, of),
