--- a/crates/entry/src/batch/commits.rs
+++ b/crates/entry/src/batch/commits.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     batch::{
-        closing::close_whole_job,
+        closing::close_completed_job,
         ownership,
         records::{ChunkOutcome, store_results},
     },
@@ -74,7 +74,7 @@
     node.job_news.notify(usize::MAX);
     node.runner_wake.notify(usize::MAX);
     if is_closed {
-        close_whole_job(node, job).await;
+        close_completed_job(node, job).await;
     } else if !node.peers.hears_all(node.clock.mono()) {
         ownership::verify(node, job).await;
     }
--- a/crates/entry/src/batch/ownership.rs
+++ b/crates/entry/src/batch/ownership.rs
@@ -12,7 +12,7 @@
 use notch_types::prelude::{Counter, MonoTime};
 
 use crate::{
-    batch::{closing::close_whole_job, limits, records::read_job},
+    batch::{closing::close_completed_job, limits, records::read_job},
     constants::{STORE_DOUBT, VERIFY_DELAY},
     node::EntryNode,
     peers::table::PeerSilence,
@@ -111,7 +111,7 @@
     node.peers.broadcast(&PeerMessage::JobsOwned(vec![job.to_owned()]));
     let is_closed = node.jobs().board.get(job).is_some_and(OwnedJob::is_closed);
     if is_closed {
-        close_whole_job(node, job).await;
+        close_completed_job(node, job).await;
     }
     node.runner_wake.notify(usize::MAX);
 }
--- a/crates/entry/src/batch/retention.rs
+++ b/crates/entry/src/batch/retention.rs
@@ -12,7 +12,7 @@
     batch::{
         records::{StoredJob, delete_job, read_end},
         stored_jobs::list_jobs,
-        takeover::comes_first,
+        takeover::is_preferred_successor,
     },
     constants::{RETENTION_MARGIN, RETENTION_TICK},
     node::EntryNode,
@@ -45,7 +45,7 @@
     let jobs = list_jobs(node, StorePath::Direct, StoreCallCause::Retention).await?;
     let mut deleted = 0;
     for job in jobs.iter().filter(|job| is_over(job, kept, node.clock.wall())) {
-        if !comes_first(node, &job.id) || node.jobs().is_owned(&job.id) {
+        if !is_preferred_successor(node, &job.id) || node.jobs().is_owned(&job.id) {
             continue;
         }
         // One that is open is kept, however old it is.
--- a/crates/entry/src/batch/runner.rs
+++ b/crates/entry/src/batch/runner.rs
@@ -27,7 +27,7 @@
         let now = node.clock.mono();
         give_up_items(&node, now);
         start_items(&node, now);
-        make_room(&node, now);
+        preempt_items(&node, now);
         store_results(&node, now);
     }
 }
@@ -97,7 +97,7 @@
 
 /// Breaks off items at targets with more requests than places, those that began last: engines take
 /// requests first come first served, so online requests may wait behind them.
-fn make_room(node: &EntryNode, now: MonoTime) {
+fn preempt_items(node: &EntryNode, now: MonoTime) {
     let registry = node.jobs();
     let targets = node.targets();
     let mut runs: FastMap<&str, Vec<&ItemRunHandle>> = FastMap::default();
@@ -116,7 +116,7 @@
 
 /// Breaks off the item that began last at `target`: an online request was sent there that finds no
 /// place free. Waiting for the next pass would add up to [`RUNNER_TICK`] to its first event.
-pub fn yield_place(node: &EntryNode, target: &str) {
+pub fn preempt_newest_item(node: &EntryNode, target: &str) {
     let registry = node.jobs();
     let runs = registry.runs.values().filter(|run| run.target == target && !run.cancel.is_closed());
     if let Some(run) = runs.max_by_key(|run| run.since) {
--- a/crates/entry/src/batch/takeover.rs
+++ b/crates/entry/src/batch/takeover.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     batch::{
-        closing::close_whole_job,
+        closing::close_completed_job,
         limits,
         records::{StoredJob, fence_results, read_end, read_job, read_spec, take_job},
         stored_jobs::list_jobs,
@@ -85,7 +85,7 @@
             }
             OwnerLiveness::Gone => {}
         }
-        if owner != node.owner && !comes_first(node, &job.id) {
+        if owner != node.owner && !is_preferred_successor(node, &job.id) {
             left += 1;
             continue;
         }
@@ -149,13 +149,13 @@
 
 /// Whether this gateway comes first for the job among those that take jobs over: so that two don't both
 /// read it.
-pub fn comes_first(node: &EntryNode, job: &str) -> bool {
+pub fn is_preferred_successor(node: &EntryNode, job: &str) -> bool {
     let own = weight(job, &node.config.node.vm);
     node.peers.successor_vms().iter().all(|vm| weight(job, vm) < own)
 }
 
 /// The other gateway that comes first for the job among those that take jobs over.
-pub fn first_for(node: &EntryNode, job: &str) -> Option<VmName> {
+pub fn preferred_successor(node: &EntryNode, job: &str) -> Option<VmName> {
     node.peers.successor_vms().into_iter().max_by_key(|vm| weight(job, vm))
 }
 
@@ -218,7 +218,7 @@
     node.peers.broadcast(&PeerMessage::JobsOwned(vec![id.clone()]));
     node.runner_wake.notify(usize::MAX);
     if is_closed {
-        close_whole_job(node, id).await;
+        close_completed_job(node, id).await;
     }
     Ok(())
 }
--- a/crates/entry/src/gateway.rs
+++ b/crates/entry/src/gateway.rs
@@ -269,7 +269,7 @@
     for job in &jobs {
         let held = node.jobs().board.get(job).map(OwnedJob::progress);
         if let Some(items) = held.filter(|items| !items.is_empty())
-            && let Some(successor) = takeover::first_for(node, job)
+            && let Some(successor) = takeover::preferred_successor(node, job)
         {
             node.peers.send(&successor, PeerMessage::JobProgress { job: job.clone(), items });
         }
--- a/crates/entry/src/online/places.rs
+++ b/crates/entry/src/online/places.rs
@@ -104,7 +104,7 @@
 pub fn revoke(node: &EntryNode, target: &str, yields: &ItemYield) {
     node.metrics.count(Counter::Event("item_places_revoked"));
     match yields {
-        ItemYield::Own => runner::yield_place(node, target),
+        ItemYield::Own => runner::preempt_newest_item(node, target),
         ItemYield::Peer(vm) => {
             node.peers.send(vm, PeerMessage::PlaceRevoke { target: target.to_owned() });
         }
--- a/crates/entry/src/peers/hub.rs
+++ b/crates/entry/src/peers/hub.rs
@@ -239,7 +239,7 @@
         PeerMessage::PlaceAsk { call, service, avoid, may_displace } => {
             places::answer(node, &peer.vm, call, &service, &avoid, may_displace);
         }
-        PeerMessage::PlaceRevoke { target } => runner::yield_place(node, &target),
+        PeerMessage::PlaceRevoke { target } => runner::preempt_newest_item(node, &target),
         PeerMessage::PlaceAnswer { call, answer } => {
             places::take_answer(node, &peer.vm, call, answer);
         }
