--- a/crates/entry/src/gateway.rs
+++ b/crates/entry/src/gateway.rs
@@ -18,7 +18,6 @@
     batch::{ends, limits, retention, runner, takeover},
     constants::{STOP_ACCEPT, STOP_IDLE, STOP_JOBS, STOP_JOBS_ALONE, STOP_LONGEST},
     error::EntryError,
-    forgetting::forget_routes,
     front::{
         connection::serve_client,
         listener::listen,
@@ -27,6 +26,7 @@
     node::EntryNode,
     peers::{demands, detours, hub, pushes, reports},
     retirements,
+    route_cleanup::forget_routes,
     store::{
         feed::{FeedPlan, follow},
         feed_event::FeedEvent,
