--- a/crates/entry/src/batch/bodies.rs
+++ b/crates/entry/src/batch/bodies.rs
@@ -56,7 +56,7 @@
 
 fn held_item(node: &EntryNode, job: &str, account: &str, item: &str) -> Option<ReadAnswer> {
     let registry = node.jobs();
-    if let Some(owned) = registry.board.get(job) {
+    if let Some(owned) = registry.table.get(job) {
         if !may_access(&owned.spec().account, account) {
             return Some(ReadAnswer::no_such());
         }
@@ -102,7 +102,7 @@
 ) {
     let told = {
         let registry = node.jobs();
-        let spec = registry.board.get(job).map(OwnedJob::spec);
+        let spec = registry.table.get(job).map(OwnedJob::spec);
         spec.map(|spec| {
             let body = body_of(spec, item).filter(|_| may_access(&spec.account, account));
             body.map(|body| Payload::from(body.to_vec()))
--- a/crates/entry/src/batch/commits.rs
+++ b/crates/entry/src/batch/commits.rs
@@ -67,7 +67,7 @@
 async fn take_stored(node: &Arc<EntryNode>, job: &str, now: MonoTime) {
     let is_closed = {
         let mut registry = node.jobs();
-        let Some(owned) = registry.board.get_mut(job) else { return };
+        let Some(owned) = registry.table.get_mut(job) else { return };
         owned.stored(now);
         owned.is_closed()
     };
@@ -89,7 +89,7 @@
     now: MonoTime,
 ) {
     {
-        let is_owned = node.jobs().board.displace(job, lines, now);
+        let is_owned = node.jobs().table.displace(job, lines, now);
         if !is_owned {
             return;
         }
--- a/crates/entry/src/batch/deadline_admission.rs
+++ b/crates/entry/src/batch/deadline_admission.rs
@@ -12,7 +12,7 @@
 pub fn refusal(node: &EntryNode, route: &Route, due: Duration) -> Option<Duration> {
     let now = node.clock.mono();
     let registry = node.jobs();
-    let item = DueWork { due: now + due, work: registry.board.pace().expected_or_guessed(0) };
+    let item = DueWork { due: now + due, work: registry.table.pace().expected_or_guessed(0) };
     refusal_of(node, &registry, route, item, now)
 }
 
@@ -25,7 +25,7 @@
 pub fn admit(node: &EntryNode, route: &Route, spec: &Arc<JobSpec>) -> Result<(), Duration> {
     let now = node.clock.mono();
     let mut registry = node.jobs();
-    let job = DueWork { due: now + spec.terms.due, work: registry.board.work_of(spec) };
+    let job = DueWork { due: now + spec.terms.due, work: registry.table.work_of(spec) };
     if let Some(wait) = refusal_of(node, &registry, route, job, now) {
         return Err(wait);
     }
--- a/crates/entry/src/batch/ends.rs
+++ b/crates/entry/src/batch/ends.rs
@@ -61,7 +61,7 @@
         return;
     }
     let was_owned = registry.is_owned(job);
-    if let Some(owned) = registry.board.get_mut(job) {
+    if let Some(owned) = registry.table.get_mut(job) {
         owned.end();
     }
     registry.retire_job(job);
--- a/crates/entry/src/batch/intake.rs
+++ b/crates/entry/src/batch/intake.rs
@@ -225,7 +225,7 @@
 ) -> IntakeOutcome {
     let mut was_unclear = false;
     // The write itself makes it ours; it may be another gateway's by the time the answer is read.
-    let asked = node.jobs().board.last_doubt();
+    let asked = node.jobs().table.last_doubt();
     loop {
         match create_job(&node.store, &spec.id, &record, &text).await {
             Ok(true) => {
@@ -248,7 +248,7 @@
 
 /// The job is stored, after a write whose answer was lost: it's ours if our record stands there.
 async fn settle(node: &Arc<EntryNode>, spec: Arc<JobSpec>, record: &JobRecord) -> IntakeOutcome {
-    let asked = node.jobs().board.last_doubt();
+    let asked = node.jobs().table.last_doubt();
     let stored =
         until_answered(|| true, || read_job(&node.store, &spec.id, StoreCallCause::JobStored))
             .await
--- a/crates/entry/src/batch/item_run.rs
+++ b/crates/entry/src/batch/item_run.rs
@@ -83,9 +83,9 @@
     let mut registry = node.jobs();
     registry.runs.remove(&run);
     if end == ItemEnd::Completed && start.last_event.is_none() {
-        registry.board.note_whole_run(&start.item, now.since(began));
+        registry.table.note_whole_run(&start.item, now.since(began));
     }
-    if let Some(job) = registry.board.get_mut(&start.job) {
+    if let Some(job) = registry.table.get_mut(&start.job) {
         if matches!(end, ItemEnd::Completed | ItemEnd::Impossible) {
             node.limits.note_ended(&job.spec().limit_name(), start.item.limit_tokens, now);
         }
--- a/crates/entry/src/batch/job_registry.rs
+++ b/crates/entry/src/batch/job_registry.rs
@@ -56,7 +56,7 @@
 #[derive(Debug, Default)]
 pub struct JobRegistry {
     /// Jobs that this gateway owns.
-    pub board: JobBoard,
+    pub table: JobBoard,
     /// Results and bodies of jobs for readers.
     pub cache: JobCache,
     /// Runs under way, by number.
@@ -90,7 +90,7 @@
 impl JobRegistry {
     /// Whether this gateway owns the job.
     pub fn is_owned(&self, job: &str) -> bool {
-        self.board.get(job).is_some()
+        self.table.get(job).is_some()
     }
 
     /// Whether anything is known of the job.
@@ -103,7 +103,7 @@
 
     /// The account that sent the job, if that is known; empty for none.
     pub fn account(&self, job: &str) -> Option<&str> {
-        if let Some(owned) = self.board.get(job) {
+        if let Some(owned) = self.table.get(job) {
             return Some(&owned.spec().account);
         }
         self.cache.get(job)?.account.as_deref()
@@ -119,13 +119,13 @@
             return false;
         }
         self.forget_owner(&id);
-        self.board.add(job);
+        self.table.add(job);
         true
     }
 
     /// Jobs owned here that aren't closed.
     pub fn open_owned(&self) -> Vec<String> {
-        let open = self.board.iter().filter(|job| !job.is_closed());
+        let open = self.table.iter().filter(|job| !job.is_closed());
         open.map(|job| job.spec().id.clone()).collect()
     }
 
@@ -230,7 +230,7 @@
 
     /// What waits here to be done in time, of jobs owned and of those being taken in, with each job's route.
     pub fn works(&self, now: MonoTime) -> Vec<(&str, DueWork)> {
-        let mut works = self.board.works(now);
+        let mut works = self.table.works(now);
         let arriving = self.arriving.iter().filter(|(job, _)| !self.is_owned(job));
         works.extend(arriving.map(|(_, arriving)| (arriving.route.as_str(), arriving.work)));
         works
@@ -250,7 +250,7 @@
     /// Tokens here that count against a route's limit: of jobs owned and of those being taken in.
     pub fn limit_tokens(&self, route: &str) -> u64 {
         let reserved = self.reserved.values().filter(|reserved| reserved.route == route);
-        reserved.fold(self.board.waiting_tokens(route), |sum, reserved| {
+        reserved.fold(self.table.waiting_tokens(route), |sum, reserved| {
             sum.saturating_add(reserved.tokens)
         })
     }
@@ -305,7 +305,7 @@
     /// far stay for readers.
     pub fn give_up_job(&mut self, job: &str) {
         self.cancel_runs(job);
-        if let Some(owned) = self.board.remove(job) {
+        if let Some(owned) = self.table.remove(job) {
             self.cache.take_owned(&owned, false);
         }
     }
@@ -314,7 +314,7 @@
     /// ended may still grow by a write that is under way.
     pub fn retire_job(&mut self, job: &str) {
         self.cancel_runs(job);
-        if let Some(owned) = self.board.remove(job) {
+        if let Some(owned) = self.table.remove(job) {
             let is_whole = owned.results().len() >= owned.spec().items.len();
             self.cache.take_owned(&owned, is_whole);
         }
@@ -322,6 +322,6 @@
 
     /// Bytes of jobs held, about.
     pub fn weight(&self) -> usize {
-        self.board.iter().map(|job| job.spec().weight()).sum()
+        self.table.iter().map(|job| job.spec().weight()).sum()
     }
 }
--- a/crates/entry/src/batch/ownership.rs
+++ b/crates/entry/src/batch/ownership.rs
@@ -27,7 +27,7 @@
     }
     let registry = node.jobs();
     let is_sure = |job: &OwnedJob| job.is_confirmed() && !job.is_storing_since(now - STORE_DOUBT);
-    registry.board.get(job).is_some_and(is_sure)
+    registry.table.get(job).is_some_and(is_sure)
 }
 
 /// Any job that we own may have been taken over: a link came back, or a gateway wasn't heard for long.
@@ -36,7 +36,7 @@
 /// heard, all are checked at once, for it may be running what others run, too.
 pub fn doubt_all(node: &Arc<EntryNode>, cause: &'static str, silence: PeerSilence) {
     let mut registry = node.jobs();
-    registry.board.doubt_all();
+    registry.table.doubt_all();
     let jobs = registry.open_owned().len();
     drop(registry);
     if silence == PeerSilence::OfMost {
@@ -51,7 +51,7 @@
 
 /// This job may have been taken over: the store is asked at once.
 pub fn doubt(node: &Arc<EntryNode>, job: &str, cause: &'static str) {
-    node.jobs().board.doubt(job);
+    node.jobs().table.doubt(job);
     node.log.info("ownership_doubted", &[("job", &job), ("cause", &cause)]);
     let (node, job) = (Arc::clone(node), job.to_owned());
     task::spawn(async move { verify(&node, &job).await });
@@ -73,7 +73,7 @@
 /// Whether an answer of the store would end the doubt about a job: not while some gateway isn't heard, for
 /// it would be good for that moment only.
 pub fn can_confirm(node: &EntryNode, job: &str) -> bool {
-    let is_confirmed = node.jobs().board.get(job).is_none_or(OwnedJob::is_confirmed);
+    let is_confirmed = node.jobs().table.get(job).is_none_or(OwnedJob::is_confirmed);
     !is_confirmed && is_in_touch(node, node.clock.mono())
 }
 
@@ -92,7 +92,7 @@
     }
     task::sleep(VERIFY_DELAY).await;
     node.is_verifying.store(false, Ordering::Release);
-    let jobs = node.jobs().board.ids();
+    let jobs = node.jobs().table.ids();
     for job in jobs {
         verify(node, &job).await;
     }
@@ -109,7 +109,7 @@
         return;
     }
     node.peers.broadcast(&PeerMessage::JobsOwned(vec![job.to_owned()]));
-    let is_closed = node.jobs().board.get(job).is_some_and(OwnedJob::is_closed);
+    let is_closed = node.jobs().table.get(job).is_some_and(OwnedJob::is_closed);
     if is_closed {
         close_completed_job(node, job).await;
     }
@@ -123,12 +123,12 @@
 /// The store didn't answer.
 pub async fn check(node: &EntryNode, job: &str) -> Result<bool, StoreFailure> {
     // Read before the question goes out: what is doubted meanwhile stays in doubt.
-    let asked = node.jobs().board.last_doubt();
+    let asked = node.jobs().table.last_doubt();
     let stored = read_job(&node.store, job, StoreCallCause::OwnershipChecked).await?;
     let owner = stored.as_ref().map_or("", |stored| stored.owner());
     let is_ours = owner == node.owner;
     if is_ours {
-        if let Some(owned) = node.jobs().board.get_mut(job) {
+        if let Some(owned) = node.jobs().table.get_mut(job) {
             owned.confirm(asked);
         }
     } else {
@@ -140,7 +140,7 @@
 fn yield_job(node: &EntryNode, job: &str, owner: &str) {
     node.log.warn("job_lost", &[("job", &job), ("owner", &owner)]);
     let mut registry = node.jobs();
-    let limit = registry.board.get(job).map(|owned| owned.spec().limit_name());
+    let limit = registry.table.get(job).map(|owned| owned.spec().limit_name());
     registry.give_up_job(job);
     registry.note_owner(&[job.to_owned()], owner);
     drop(registry);
--- a/crates/entry/src/batch/reads.rs
+++ b/crates/entry/src/batch/reads.rs
@@ -178,7 +178,7 @@
 
 fn read_state(node: &EntryNode, job: &str, after: usize) -> ReadState {
     let registry = node.jobs();
-    if let Some(owned) = registry.board.get(job) {
+    if let Some(owned) = registry.table.get(job) {
         let total = owned.spec().items.len();
         let lines = owned.results().get(after..).unwrap_or_default();
         if lines.is_empty() && !owned.is_closed() {
--- a/crates/entry/src/batch/runner.rs
+++ b/crates/entry/src/batch/runner.rs
@@ -17,7 +17,7 @@
 pub async fn run_jobs(node: Arc<EntryNode>) {
     loop {
         let listener = node.runner_wake.listen();
-        let is_idle = node.jobs().board.is_idle();
+        let is_idle = node.jobs().table.is_idle();
         if is_idle {
             listener.await;
         } else {
@@ -36,8 +36,8 @@
 fn give_up_items(node: &EntryNode, now: MonoTime) {
     let Some(routes) = node.routes() else { return };
     let mut registry = node.jobs();
-    for id in registry.board.ids() {
-        let Some(job) = registry.board.get_mut(&id) else { continue };
+    for id in registry.table.ids() {
+        let Some(job) = registry.table.get_mut(&id) else { continue };
         let spec = Arc::clone(job.spec());
         let route_gone = routes.find(&spec.host, &spec.path).is_none();
         job.give_up_items(route_gone, now);
@@ -51,8 +51,8 @@
     let Some(routes) = node.routes() else { return };
     for _ in 0..STARTS_PER_PASS {
         let mut registry = node.jobs();
-        let Some((job, index)) = registry.board.next_item(now) else { return };
-        let Some(owned) = registry.board.get(&job) else { return };
+        let Some((job, index)) = registry.table.next_item(now) else { return };
+        let Some(owned) = registry.table.get(&job) else { return };
         let left_ms = (owned.due().0 as i64 - now.0 as i64) / 1_000;
         let spec = Arc::clone(owned.spec());
         let path = &spec.items[index].path;
@@ -71,7 +71,7 @@
         };
         let choice = node.targets().choose(&query, now, EntryNode::draw);
         let Some(choice) = choice else { return };
-        let Some(start) = registry.board.start_item(&job, index) else { return };
+        let Some(start) = registry.table.start_item(&job, index) else { return };
         let (cancel, cancelled) = async_channel::bounded(1);
         let target = choice.id.clone();
         let run = registry.add_run(ItemRunHandle { job, target, since: now, cancel });
@@ -126,11 +126,11 @@
 
 fn store_results(node: &Arc<EntryNode>, now: MonoTime) {
     let mut registry = node.jobs();
-    for id in registry.board.ids() {
+    for id in registry.table.ids() {
         if registry.is_busy(&id) {
             continue;
         }
-        let Some(job) = registry.board.get_mut(&id) else { continue };
+        let Some(job) = registry.table.get_mut(&id) else { continue };
         if let Some(lines) = job.take_pending(RESULT_DELAY, OBJECT_BYTES, now) {
             let place = ListPlace { position: job.results().len(), fences: job.fences() };
             task::spawn(commits::store(Arc::clone(node), id, place, lines));
--- a/crates/entry/src/batch/takeover.rs
+++ b/crates/entry/src/batch/takeover.rs
@@ -190,7 +190,7 @@
     }
     // Who took the job over before our fence stood may extend the list before it; whoever does it later
     // finds the fence. So only an answer to a question asked now tells that the list is ours.
-    let asked = node.jobs().board.last_doubt();
+    let asked = node.jobs().table.last_doubt();
     let owner = read_job(&node.store, id, StoreCallCause::JobTakenOver)
         .await?
         .map(|job| job.owner().to_owned());
--- a/crates/entry/src/gateway.rs
+++ b/crates/entry/src/gateway.rs
@@ -240,7 +240,7 @@
         if age >= STOP_IDLE {
             node.stop.end_idle();
         }
-        let is_quiet = node.stop.active() == 0 && (jobs_left || node.jobs().board.is_idle());
+        let is_quiet = node.stop.active() == 0 && (jobs_left || node.jobs().table.is_idle());
         if age >= STOP_LONGEST || (is_quiet && age >= STOP_IDLE.max(STOP_ACCEPT)) {
             break;
         }
@@ -258,7 +258,7 @@
     node.stop.hand_over();
     let jobs = {
         let mut registry = node.jobs();
-        let jobs = registry.board.ids();
+        let jobs = registry.table.ids();
         for job in &jobs {
             registry.cancel_runs(job);
         }
@@ -267,7 +267,7 @@
     // Runs that were cancelled hand in their progress.
     task::sleep(STOP_TICK).await;
     for job in &jobs {
-        let held = node.jobs().board.get(job).map(OwnedJob::progress);
+        let held = node.jobs().table.get(job).map(OwnedJob::progress);
         if let Some(items) = held.filter(|items| !items.is_empty())
             && let Some(successor) = takeover::preferred_successor(node, job)
         {
--- a/crates/entry/src/peers/demands.rs
+++ b/crates/entry/src/peers/demands.rs
@@ -68,7 +68,7 @@
         works: demand.merged(TOLD_PARTS).into_iter().map(|work| told_work(work, now)).collect(),
     };
     let demands = demands.iter().map(report).collect();
-    let pace = node.jobs().board.own_pace().figures();
+    let pace = node.jobs().table.own_pace().figures();
     PeerMessage::Demand { demands, pace }
 }
 
@@ -104,6 +104,6 @@
         intake.note_places(service, *places, now);
     }
     intake.expire(|service| places.contains_key(service), now);
-    let pace = intake.pace(registry.board.own_pace().figures());
-    registry.board.set_shared_pace(pace);
+    let pace = intake.pace(registry.table.own_pace().figures());
+    registry.table.set_shared_pace(pace);
 }
--- a/crates/entry/src/peers/hub.rs
+++ b/crates/entry/src/peers/hub.rs
@@ -335,7 +335,7 @@
             let mut registry = node.jobs();
             if registry.is_busy(job) {
                 // It is being taken over here: whichever of the two came first, the store tells.
-                registry.board.doubt_all();
+                registry.table.doubt_all();
             }
             registry.note_owner(std::slice::from_ref(job), owner);
         }
--- a/crates/entry/tests/job_registry.rs
+++ b/crates/entry/tests/job_registry.rs
@@ -67,7 +67,7 @@
     let mut registry = JobRegistry::default();
     assert!(registry.own_job(job(&["0"])));
     assert!(!registry.own_job(job(&[])));
-    assert_eq!(registry.board.get("j1").map(|job| job.results().len()), Some(1));
+    assert_eq!(registry.table.get("j1").map(|job| job.results().len()), Some(1));
 }
 
 /// Symptom: a gateway's memory grows from day to day. Sequence: jobs are closed and ended elsewhere,
