--- a/crates/entry/src/batch/bodies.rs
+++ b/crates/entry/src/batch/bodies.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     batch::{
-        read_tally::{ReadKind, ReadSource},
+        read_latency::{ReadKind, ReadSource},
         reads::{ReadAnswer, learn_job, note_read, unsure},
     },
     constants::BODY_ASK,
@@ -39,7 +39,7 @@
     if let Some(told) = ask_owner(node, job, account, item).await {
         return ReadAnswer { answer: body_answer(told.as_deref()), source: ReadSource::Told };
     }
-    let mut copy = node.jobs().copies.get(job).cloned().unwrap_or_default();
+    let mut copy = node.jobs().cache.get(job).cloned().unwrap_or_default();
     match learn_job(node, job, &mut copy).await {
         Ok(true) => {}
         Ok(false) => return ReadAnswer::no_such(),
@@ -47,7 +47,7 @@
     }
     let is_of_another = copy.is_of_another(account);
     let answer = body_answer(copy.spec.as_deref().and_then(|spec| body_of(spec, item)));
-    node.jobs().copies.keep(job, copy);
+    node.jobs().cache.keep(job, copy);
     if is_of_another {
         return ReadAnswer::no_such();
     }
@@ -55,15 +55,15 @@
 }
 
 fn held_item(node: &EntryNode, job: &str, account: &str, item: &str) -> Option<ReadAnswer> {
-    let desk = node.jobs();
-    if let Some(owned) = desk.board.get(job) {
+    let registry = node.jobs();
+    if let Some(owned) = registry.table.get(job) {
         if !may_access(&owned.spec().account, account) {
             return Some(ReadAnswer::no_such());
         }
         let answer = body_answer(body_of(owned.spec(), item));
         return Some(ReadAnswer { answer, source: ReadSource::Owner });
     }
-    let copy = desk.copies.get(job)?;
+    let copy = registry.cache.get(job)?;
     if copy.is_of_another(account) {
         return Some(ReadAnswer::no_such());
     }
@@ -79,9 +79,9 @@
     item: &str,
 ) -> Option<Option<Payload>> {
     let owner = {
-        let desk = node.jobs();
-        let read = || desk.copies.get(job).and_then(|copy| copy.owner.as_deref());
-        desk.owner(job).or_else(read)?.to_owned()
+        let registry = node.jobs();
+        let read = || registry.cache.get(job).and_then(|copy| copy.owner.as_deref());
+        registry.owner(job).or_else(read)?.to_owned()
     };
     let (job, item, account) = (job.to_owned(), item.to_owned(), account.to_owned());
     let question = |call| PeerMessage::BodyAsk { call, job, item, account };
@@ -101,8 +101,8 @@
     account: &str,
 ) {
     let told = {
-        let desk = node.jobs();
-        let spec = desk.board.get(job).map(OwnedJob::spec);
+        let registry = node.jobs();
+        let spec = registry.table.get(job).map(OwnedJob::spec);
         spec.map(|spec| {
             let body = body_of(spec, item).filter(|_| may_access(&spec.account, account));
             body.map(|body| Payload::from(body.to_vec()))
@@ -115,7 +115,7 @@
 }
 
 /// Takes another gateway's answer.
-pub fn take_told(node: &EntryNode, call: u64, is_known: bool, body: Option<Payload>) {
+pub fn receive_body(node: &EntryNode, call: u64, is_known: bool, body: Option<Payload>) {
     node.peers.body_calls.answer(call, ToldBody { is_known, body });
 }
 
--- a/crates/entry/src/batch/commits.rs
+++ b/crates/entry/src/batch/commits.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     batch::{
-        closing::close_whole_job,
+        closing::close_completed_job,
         ownership,
         records::{ChunkOutcome, store_results},
     },
@@ -66,15 +66,15 @@
 
 async fn take_stored(node: &Arc<EntryNode>, job: &str, now: MonoTime) {
     let is_closed = {
-        let mut desk = node.jobs();
-        let Some(owned) = desk.board.get_mut(job) else { return };
+        let mut registry = node.jobs();
+        let Some(owned) = registry.table.get_mut(job) else { return };
         owned.stored(now);
         owned.is_closed()
     };
     node.job_news.notify(usize::MAX);
     node.runner_wake.notify(usize::MAX);
     if is_closed {
-        close_whole_job(node, job).await;
+        close_completed_job(node, job).await;
     } else if !node.peers.hears_all(node.clock.mono()) {
         ownership::verify(node, job).await;
     }
@@ -89,7 +89,7 @@
     now: MonoTime,
 ) {
     {
-        let is_owned = node.jobs().board.displace(job, lines, now);
+        let is_owned = node.jobs().table.displace(job, lines, now);
         if !is_owned {
             return;
         }
--- a/crates/entry/src/batch/ends.rs
+++ b/crates/entry/src/batch/ends.rs
@@ -21,16 +21,16 @@
 /// A client ends a job: told so only once the end is stored.
 pub async fn end_job(node: &Arc<EntryNode>, job: &str, account: &str) -> OwnAnswer {
     let is_known = {
-        let desk = node.jobs();
-        let owner = desk.account(job);
+        let registry = node.jobs();
+        let owner = registry.account(job);
         if owner.is_some_and(|owner| !may_access(owner, account)) {
             return answer(node, job, "job_of_another", OwnAnswer::of(404));
         }
-        if desk.is_ended(job) {
+        if registry.is_ended(job) {
             return answer(node, job, "ended_before", OwnAnswer::of(200));
         }
         // Who may end a job must be known, where there are accounts.
-        desk.is_known(job) && (owner.is_some() || account.is_empty())
+        registry.is_known(job) && (owner.is_some() || account.is_empty())
     };
     if !is_known {
         match read_job(&node.store, job, StoreCallCause::EndStored).await {
@@ -45,7 +45,7 @@
     // Nothing runs once the client may take it as ended, whatever becomes of the answer.
     match store_end(&node.store, job).await {
         Ok(()) => {
-            take_end(node, job, "client");
+            apply_job_end(node, job, "client");
             node.peers.broadcast(&PeerMessage::JobEnded(job.to_owned()));
             answer(node, job, "ended", OwnAnswer::of(200))
         }
@@ -54,19 +54,19 @@
 }
 
 /// A job's end is stored: nothing of it runs here any more.
-pub fn take_end(node: &EntryNode, job: &str, source: &str) {
+pub fn apply_job_end(node: &EntryNode, job: &str, source: &str) {
     let now = node.clock.mono();
-    let mut desk = node.jobs();
-    if !desk.note_ended(job, now) {
+    let mut registry = node.jobs();
+    if !registry.note_ended(job, now) {
         return;
     }
-    let was_owned = desk.is_owned(job);
-    if let Some(owned) = desk.board.get_mut(job) {
+    let was_owned = registry.is_owned(job);
+    if let Some(owned) = registry.table.get_mut(job) {
         owned.end();
     }
-    desk.retire_job(job);
-    desk.note_closed(job, now);
-    drop(desk);
+    registry.retire_job(job);
+    registry.note_closed(job, now);
+    drop(registry);
     node.log.info("job_ended", &[("job", &job), ("source", &source), ("owned", &was_owned)]);
     node.job_news.notify(usize::MAX);
     if source == "store" {
@@ -78,14 +78,14 @@
 /// Follows ends of jobs in the store: the gateway that owns a job may be out of touch with the one
 /// that the client told.
 pub async fn follow_ends(node: Arc<EntryNode>) {
-    let plan = FeedPlan { duty: Some(&node), ..FeedPlan::default() };
+    let plan = FeedPlan { watcher: Some(&node), ..FeedPlan::default() };
     follow(&node.store, END_KIND, plan, |event| match event {
         FeedEvent::Snapshot { objects, .. } => {
             for object in &objects {
-                take_end(&node, &object.metadata.name, "store");
+                apply_job_end(&node, &object.metadata.name, "store");
             }
         }
-        FeedEvent::Changed { object } => take_end(&node, &object.metadata.name, "store"),
+        FeedEvent::Changed { object } => apply_job_end(&node, &object.metadata.name, "store"),
         FeedEvent::Deleted { .. } => {}
     })
     .await;
--- a/crates/entry/src/batch/intake.rs
+++ b/crates/entry/src/batch/intake.rs
@@ -12,11 +12,11 @@
 
 use crate::{
     batch::{
+        deadline_admission,
         limits::{self, LimitOutcome},
-        looks::{JobTrace, find_trace},
         ownership,
+        prior_submission::{PriorJob, find_prior_submission},
         records::{create_job, inline_items, part_count, read_end, read_job},
-        room,
     },
     constants::{
         INTAKE_PATIENCE, JOB_BYTES, RETRY_AFTER, RETRY_AFTER_START, STORE_PAUSE, STORING_QUIET,
@@ -83,7 +83,7 @@
     let Some(terms) = route.job_terms else {
         return answer(node, id, "not_a_batch_route", OwnAnswer::of(400), arrived);
     };
-    if let Some(wait) = room::refusal(node, route, terms.due) {
+    if let Some(wait) = deadline_admission::refusal(node, route, terms.due) {
         return refuse(node, id, JobRefusal::NoTime { wait }, arrived).await;
     }
     let Ok(text) = items_text(body) else {
@@ -117,7 +117,7 @@
 
 /// Counts a job that is being taken in, if there is time for it and it fits under its route's limit.
 async fn admit(node: &EntryNode, route: &Route, spec: &Arc<JobSpec>) -> Result<(), JobRefusal> {
-    room::take(node, route, spec).map_err(|wait| JobRefusal::NoTime { wait })?;
+    deadline_admission::admit(node, route, spec).map_err(|wait| JobRefusal::NoTime { wait })?;
     let limit = WaitingLimit::of(route, &spec.account);
     match limits::reserve(node, &limit, &spec.id, spec.limit_tokens()).await {
         LimitOutcome::Reserved => Ok(()),
@@ -155,20 +155,20 @@
 /// Refuses a job, unless another gateway took it in before without our hearing of it: it runs then, and a
 /// refusal would say that it doesn't.
 async fn refuse(node: &EntryNode, id: &str, refusal: JobRefusal, arrived: MonoTime) -> OwnAnswer {
-    let (outcome, answered) = match (find_trace(node, id).await, refusal) {
-        (JobTrace::Taken, _) => ("known", OwnAnswer::of(202)),
-        (JobTrace::None, JobRefusal::NoTime { wait }) => ("no_time", OwnAnswer::refused(wait)),
-        (JobTrace::None, JobRefusal::OverLimit { wait }) => {
+    let (outcome, answered) = match (find_prior_submission(node, id).await, refusal) {
+        (PriorJob::Accepted, _) => ("known", OwnAnswer::of(202)),
+        (PriorJob::None, JobRefusal::NoTime { wait }) => ("no_time", OwnAnswer::refused(wait)),
+        (PriorJob::None, JobRefusal::OverLimit { wait }) => {
             ("over_limit", OwnAnswer::over_limit(wait))
         }
-        (JobTrace::None, JobRefusal::LimitUnknown) => {
+        (PriorJob::None, JobRefusal::LimitUnknown) => {
             ("limit_unknown", OwnAnswer::refused(RETRY_AFTER))
         }
         // Not a refusal: nobody can say that it doesn't run.
-        (JobTrace::Unclear, _) => {
+        (PriorJob::Unclear, _) => {
             ("unclear", OwnAnswer { status: 504, ..OwnAnswer::refused(RETRY_AFTER) })
         }
-        (JobTrace::StoreAway, _) => ("store_unavailable", OwnAnswer::refused(RETRY_AFTER)),
+        (PriorJob::StoreUnavailable, _) => ("store_unavailable", OwnAnswer::refused(RETRY_AFTER)),
     };
     answer(node, id, outcome, answered, arrived)
 }
@@ -178,12 +178,12 @@
 async fn is_taken(node: &EntryNode, id: &str, arrived: MonoTime) -> bool {
     loop {
         {
-            let desk = node.jobs();
-            if desk.is_known(id) {
+            let registry = node.jobs();
+            if registry.is_known(id) {
                 return true;
             }
             let is_over = node.clock.mono().since(arrived) >= INTAKE_PATIENCE;
-            if !desk.is_busy(id) || is_over {
+            if !registry.is_busy(id) || is_over {
                 return false;
             }
         }
@@ -225,7 +225,7 @@
 ) -> IntakeOutcome {
     let mut was_unclear = false;
     // The write itself makes it ours; it may be another gateway's by the time the answer is read.
-    let asked = node.jobs().board.ownership_generation();
+    let asked = node.jobs().table.ownership_generation();
     loop {
         match create_job(&node.store, &spec.id, &record, &text).await {
             Ok(true) => {
@@ -248,7 +248,7 @@
 
 /// The job is stored, after a write whose answer was lost: it's ours if our record stands there.
 async fn settle(node: &Arc<EntryNode>, spec: Arc<JobSpec>, record: &JobRecord) -> IntakeOutcome {
-    let asked = node.jobs().board.ownership_generation();
+    let asked = node.jobs().table.ownership_generation();
     let stored =
         until_answered(|| true, || read_job(&node.store, &spec.id, StoreCallCause::JobStored))
             .await
@@ -275,9 +275,9 @@
     // A copy for readers says nothing of the owner; another gateway's claim may be older than our answer, or
     // newer: then the store is asked.
     let is_claimed = {
-        let mut desk = node.jobs();
-        let is_claimed = desk.owner(&id).is_some();
-        if !desk.own_job(owned) {
+        let mut registry = node.jobs();
+        let is_claimed = registry.owner(&id).is_some();
+        if !registry.own_job(owned) {
             return;
         }
         is_claimed
--- a/crates/entry/src/batch/desk.rs
+++ b/crates/entry/src/batch/job_registry.rs
@@ -6,7 +6,7 @@
 use notch_relay::prelude::*;
 use notch_types::prelude::*;
 
-use crate::batch::{copies::JobCopies, looks::LookPace};
+use crate::batch::{job_cache::JobCache, prior_submission::LookupLimiter};
 
 /// Jobs whose progress is kept until they are taken over, at most: a gateway owns a dozen.
 const HANDED_JOBS: usize = 256;
@@ -54,11 +54,11 @@
 
 /// All that a gateway holds of jobs.
 #[derive(Debug, Default)]
-pub struct JobDesk {
+pub struct JobRegistry {
     /// Jobs that this gateway owns.
-    pub board: JobTable,
+    pub table: JobTable,
     /// Results and bodies of jobs for readers.
-    pub copies: JobCopies,
+    pub cache: JobCache,
     /// Runs under way, by number.
     pub runs: FastMap<u64, ItemRunHandle>,
     next_run: u64,
@@ -82,15 +82,15 @@
     /// than [`STORING_SPAN`].
     storing_elsewhere: FastMap<String, MonoTime>,
     /// Looks in the store for jobs that are about to be refused.
-    pub looks: LookPace,
+    pub lookups: LookupLimiter,
     /// Work of jobs being taken in, by job.
     arriving: FastMap<String, ArrivingWork>,
 }
 
-impl JobDesk {
+impl JobRegistry {
     /// Whether this gateway owns the job.
     pub fn is_owned(&self, job: &str) -> bool {
-        self.board.get(job).is_some()
+        self.table.get(job).is_some()
     }
 
     /// Whether anything is known of the job.
@@ -98,15 +98,15 @@
         self.is_owned(job)
             || self.owners.contains_key(job)
             || self.listed.contains_key(job)
-            || self.copies.get(job).is_some()
+            || self.cache.get(job).is_some()
     }
 
     /// The account that sent the job, if that is known; empty for none.
     pub fn account(&self, job: &str) -> Option<&str> {
-        if let Some(owned) = self.board.get(job) {
+        if let Some(owned) = self.table.get(job) {
             return Some(&owned.spec().account);
         }
-        self.copies.get(job)?.account.as_deref()
+        self.cache.get(job)?.account.as_deref()
     }
 
     /// Begins to run a job; false, and nothing begins, when its end is known or it's here already.
@@ -119,13 +119,13 @@
             return false;
         }
         self.forget_owner(&id);
-        self.board.add(job);
+        self.table.add(job);
         true
     }
 
     /// Jobs owned here that aren't closed.
     pub fn open_owned(&self) -> Vec<String> {
-        let open = self.board.iter().filter(|job| !job.is_closed());
+        let open = self.table.iter().filter(|job| !job.is_closed());
         open.map(|job| job.spec().id.clone()).collect()
     }
 
@@ -230,7 +230,7 @@
 
     /// What waits here to be done in time, of jobs owned and of those being taken in, with each job's route.
     pub fn works(&self, now: MonoTime) -> Vec<(&str, DueWork)> {
-        let mut works = self.board.works(now);
+        let mut works = self.table.works(now);
         let arriving = self.arriving.iter().filter(|(job, _)| !self.is_owned(job));
         works.extend(arriving.map(|(_, arriving)| (arriving.route.as_str(), arriving.work)));
         works
@@ -250,7 +250,7 @@
     /// Tokens here that count against a route's limit: of jobs owned and of those being taken in.
     pub fn limit_tokens(&self, route: &str) -> u64 {
         let reserved = self.reserved.values().filter(|reserved| reserved.route == route);
-        reserved.fold(self.board.waiting_tokens(route), |sum, reserved| {
+        reserved.fold(self.table.waiting_tokens(route), |sum, reserved| {
             sum.saturating_add(reserved.tokens)
         })
     }
@@ -305,8 +305,8 @@
     /// far stay for readers.
     pub fn give_up_job(&mut self, job: &str) {
         self.cancel_runs(job);
-        if let Some(owned) = self.board.remove(job) {
-            self.copies.take_owned(&owned, false);
+        if let Some(owned) = self.table.remove(job) {
+            self.cache.take_owned(&owned, false);
         }
     }
 
@@ -314,14 +314,14 @@
     /// ended may still grow by a write that is under way.
     pub fn retire_job(&mut self, job: &str) {
         self.cancel_runs(job);
-        if let Some(owned) = self.board.remove(job) {
+        if let Some(owned) = self.table.remove(job) {
             let is_whole = owned.results().len() >= owned.spec().items.len();
-            self.copies.take_owned(&owned, is_whole);
+            self.cache.take_owned(&owned, is_whole);
         }
     }
 
     /// Bytes of jobs held, about.
     pub fn weight(&self) -> usize {
-        self.board.iter().map(|job| job.spec().approx_bytes()).sum()
+        self.table.iter().map(|job| job.spec().approx_bytes()).sum()
     }
 }
--- a/crates/entry/src/batch/takeover.rs
+++ b/crates/entry/src/batch/takeover.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     batch::{
-        closing::close_whole_job,
+        closing::close_completed_job,
         limits,
         records::{StoredJob, fence_results, read_end, read_job, read_spec, take_job},
         stored_jobs::list_jobs,
@@ -45,8 +45,8 @@
 
 /// Whether a job that another gateway told of has lost its owner.
 fn has_orphans(node: &EntryNode, now: MonoTime) -> bool {
-    let desk = node.jobs();
-    let open = desk.owned_elsewhere().filter(|(job, _)| !desk.is_ended(job));
+    let registry = node.jobs();
+    let open = registry.owned_elsewhere().filter(|(job, _)| !registry.is_ended(job));
     // A gateway owns many jobs; each owner is asked for once.
     let owners: FastSet<&str> = open.map(|(_, owner)| owner).collect();
     owners.into_iter().any(|owner| node.liveness(owner, now) == OwnerLiveness::Gone)
@@ -68,8 +68,8 @@
             continue;
         }
         let is_ours = {
-            let desk = node.jobs();
-            desk.is_ended(&job.id) || desk.is_owned(&job.id) || desk.is_busy(&job.id)
+            let registry = node.jobs();
+            registry.is_ended(&job.id) || registry.is_owned(&job.id) || registry.is_busy(&job.id)
         };
         if is_ours {
             continue;
@@ -85,7 +85,7 @@
             }
             OwnerLiveness::Gone => {}
         }
-        if owner != node.owner && !comes_first(node, &job.id) {
+        if owner != node.owner && !is_preferred_successor(node, &job.id) {
             left += 1;
             continue;
         }
@@ -149,13 +149,13 @@
 
 /// Whether this gateway comes first for the job among those that take jobs over: so that two don't both
 /// read it.
-pub fn comes_first(node: &EntryNode, job: &str) -> bool {
+pub fn is_preferred_successor(node: &EntryNode, job: &str) -> bool {
     let own = weight(job, &node.config.node.vm);
     node.peers.successor_vms().iter().all(|vm| weight(job, vm) < own)
 }
 
 /// The other gateway that comes first for the job among those that take jobs over.
-pub fn first_for(node: &EntryNode, job: &str) -> Option<VmName> {
+pub fn preferred_successor(node: &EntryNode, job: &str) -> Option<VmName> {
     node.peers.successor_vms().into_iter().max_by_key(|vm| weight(job, vm))
 }
 
@@ -190,7 +190,7 @@
     }
     // Who took the job over before our fence stood may extend the list before it; whoever does it later
     // finds the fence. So only an answer to a question asked now tells that the list is ours.
-    let asked = node.jobs().board.ownership_generation();
+    let asked = node.jobs().table.ownership_generation();
     let owner = read_job(&node.store, id, StoreCallCause::JobTakenOver)
         .await?
         .map(|job| job.owner().to_owned());
@@ -204,9 +204,9 @@
     owned.confirm(asked);
     let is_closed = owned.is_closed();
     {
-        let mut desk = node.jobs();
-        owned.adopt_progress(desk.take_progress(id));
-        if !desk.own_job(owned) {
+        let mut registry = node.jobs();
+        owned.adopt_progress(registry.take_progress(id));
+        if !registry.own_job(owned) {
             return Ok(());
         }
     }
@@ -218,7 +218,7 @@
     node.peers.broadcast(&PeerMessage::JobsOwned(vec![id.clone()]));
     node.runner_wake.notify(usize::MAX);
     if is_closed {
-        close_whole_job(node, id).await;
+        close_completed_job(node, id).await;
     }
     Ok(())
 }
--- a/crates/entry/src/gateway.rs
+++ b/crates/entry/src/gateway.rs
@@ -18,7 +18,6 @@
     batch::{ends, limits, retention, runner, takeover},
     constants::{STOP_ACCEPT, STOP_IDLE, STOP_JOBS, STOP_JOBS_ALONE, STOP_LONGEST},
     error::EntryError,
-    forgetting::forget_routes,
     front::{
         connection::serve_client,
         listener::listen,
@@ -27,6 +26,7 @@
     node::EntryNode,
     peers::{demands, detours, hub, pushes, reports},
     retirements,
+    route_cleanup::forget_routes,
     store::{
         feed::{FeedPlan, follow},
         feed_event::FeedEvent,
@@ -108,7 +108,7 @@
     task::spawn(runner::run_jobs(Arc::clone(node)));
     task::spawn(takeover::watch_owners(Arc::clone(node)));
     task::spawn(liveness::probe_silent(Arc::clone(node)));
-    task::spawn(limits::keep_room(Arc::clone(node)));
+    task::spawn(limits::maintain_headroom(Arc::clone(node)));
     task::spawn(freshness::keep_fresh(Arc::clone(node)));
     task::spawn(retention::delete_old_jobs(Arc::clone(node)));
     task::spawn(retirements::answer_retirements(Arc::clone(node)));
@@ -143,7 +143,7 @@
 }
 
 async fn follow_configuration(node: Arc<EntryNode>) {
-    let plan = FeedPlan { duty: Some(&node), ..FeedPlan::default() };
+    let plan = FeedPlan { watcher: Some(&node), ..FeedPlan::default() };
     follow(&node.store, CONFIGURATION_KIND, plan, |event| {
         let (objects, listed) = match &event {
             FeedEvent::Snapshot { objects, asked, .. } => (objects.as_slice(), Some(*asked)),
@@ -162,7 +162,7 @@
 }
 
 async fn follow_targets(node: Arc<EntryNode>) {
-    let plan = FeedPlan { duty: Some(&node), ..FeedPlan::default() };
+    let plan = FeedPlan { watcher: Some(&node), ..FeedPlan::default() };
     follow(&node.store, TARGET_KIND, plan, |event| node.take_target_event(event)).await;
 }
 
@@ -240,7 +240,7 @@
         if age >= STOP_IDLE {
             node.stop.end_idle();
         }
-        let is_quiet = node.stop.active() == 0 && (jobs_left || node.jobs().board.is_idle());
+        let is_quiet = node.stop.active() == 0 && (jobs_left || node.jobs().table.is_idle());
         if age >= STOP_LONGEST || (is_quiet && age >= STOP_IDLE.max(STOP_ACCEPT)) {
             break;
         }
@@ -257,19 +257,19 @@
 pub async fn leave_jobs(node: &EntryNode) {
     node.stop.hand_over();
     let jobs = {
-        let mut desk = node.jobs();
-        let jobs = desk.board.ids();
+        let mut registry = node.jobs();
+        let jobs = registry.table.ids();
         for job in &jobs {
-            desk.cancel_runs(job);
+            registry.cancel_runs(job);
         }
         jobs
     };
     // Runs that were cancelled hand in their progress.
     task::sleep(STOP_TICK).await;
     for job in &jobs {
-        let held = node.jobs().board.get(job).map(OwnedJob::progress);
+        let held = node.jobs().table.get(job).map(OwnedJob::progress);
         if let Some(items) = held.filter(|items| !items.is_empty())
-            && let Some(successor) = takeover::first_for(node, job)
+            && let Some(successor) = takeover::preferred_successor(node, job)
         {
             node.peers.send(&successor, PeerMessage::JobProgress { job: job.clone(), items });
         }
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -18,7 +18,9 @@
 
 use crate::{
     accounts::state::AccountState,
-    batch::{desk::JobDesk, limit_desk::LimitDesk, read_tally::ReadTallies},
+    batch::{
+        job_registry::JobRegistry, limit_registry::LimitRegistry, read_latency::ReadLatencies,
+    },
     clock::NodeClock,
     constants::WATCHERS,
     peers::{
@@ -31,9 +33,9 @@
         call_counts::StoreCallCounts,
         client::StoreClient,
         configuration::{ConfigurationInForce, newer_configuration},
-        detour::DetourCall,
-        duty::WatchDuty,
         feed_event::FeedEvent,
+        forwarding::ForwardedCall,
+        live_feeds::LiveFeeds,
         target::{TargetChange, TargetFeed},
     },
     target::{connection::TargetConnection, pool::TargetPool},
@@ -56,13 +58,13 @@
     /// The store.
     pub store: StoreClient,
     /// Whether this gateway follows the store.
-    pub watch: WatchDuty,
+    pub watch: LiveFeeds,
     /// This gateway's part in limits on waiting jobs.
-    pub limits: LimitDesk,
+    pub limits: LimitRegistry,
     /// Client accounts.
     pub accounts: AccountState,
     /// How long reads of jobs took.
-    pub reads: ReadTallies,
+    pub reads: ReadLatencies,
     /// Idle connections to targets.
     pub pool: TargetPool,
     /// The other gateways.
@@ -84,7 +86,7 @@
     configuration: RwLock<Option<ConfigurationInForce>>,
     targets: Mutex<TargetTable>,
     target_feed: Mutex<TargetFeed>,
-    jobs: Mutex<JobDesk>,
+    jobs: Mutex<JobRegistry>,
     crashes: Mutex<CrashTable>,
     patience: Mutex<RetryDetector>,
     dropped_routes: Mutex<DroppedRoutes>,
@@ -94,7 +96,7 @@
 impl EntryNode {
     /// A node that knows nothing yet, and the calls to the store that another gateway should make
     /// for it.
-    pub fn new(config: EntryConfig) -> (Self, Receiver<DetourCall>) {
+    pub fn new(config: EntryConfig) -> (Self, Receiver<ForwardedCall>) {
         let clock = NodeClock::start();
         let log = NodeLog::new(&config.node.vm, &config.node.domain);
         let metrics = Metrics::new(&config.node.vm, &config.node.domain);
@@ -114,10 +116,10 @@
             clock,
             log,
             metrics,
-            watch: WatchDuty::default(),
-            limits: LimitDesk::default(),
+            watch: LiveFeeds::default(),
+            limits: LimitRegistry::default(),
             accounts: AccountState::new(&config.accounts),
-            reads: ReadTallies::default(),
+            reads: ReadLatencies::default(),
             pool: TargetPool::default(),
             peers: PeerTable::new(traffic),
             stop: StopState::default(),
@@ -151,7 +153,7 @@
     }
 
     /// The jobs.
-    pub fn jobs(&self) -> MutexGuard<'_, JobDesk> {
+    pub fn jobs(&self) -> MutexGuard<'_, JobRegistry> {
         self.jobs.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -287,7 +289,7 @@
                         Err(error) => changes.extend(self.refuse_target(&mut feed, object, &error)),
                     }
                 }
-                changes.extend(feed.take_list(entries, as_of, lapsed_until, now));
+                changes.extend(feed.apply_list(entries, as_of, lapsed_until, now));
                 changes
             }
             FeedEvent::Changed { object } => {
--- a/crates/entry/src/online/places.rs
+++ b/crates/entry/src/online/places.rs
@@ -104,7 +104,7 @@
 pub fn revoke(node: &EntryNode, target: &str, yields: &PreemptedItem) {
     node.metrics.count(Counter::Event("item_places_revoked"));
     match yields {
-        PreemptedItem::Own => runner::yield_place(node, target),
+        PreemptedItem::Own => runner::preempt_newest_item(node, target),
         PreemptedItem::Peer(vm) => {
             node.peers.send(vm, PeerMessage::PlaceRevoke { target: target.to_owned() });
         }
--- a/crates/entry/src/peers/demands.rs
+++ b/crates/entry/src/peers/demands.rs
@@ -8,7 +8,7 @@
 use notch_types::prelude::*;
 
 use crate::{
-    batch::room,
+    batch::deadline_admission,
     constants::{DEMAND_EVERY, DEMAND_IDLE, DEMAND_PAUSE},
     node::EntryNode,
 };
@@ -44,7 +44,7 @@
         let listener = node.jobs_taken.listen();
         let now = node.clock.mono();
         note_places(&node, now);
-        let demands = room::own_demands(&node, now);
+        let demands = deadline_admission::local_demands(&node, now);
         let total = demands.values().map(WorkDemand::total).sum();
         if last.is_due(total, has_new_job, now) {
             node.peers.broadcast(&message(&node, &demands, now));
@@ -59,7 +59,7 @@
 /// What work waits here now, for a gateway that has just come: one that knows of none would take any job in.
 pub fn demand(node: &EntryNode) -> PeerMessage {
     let now = node.clock.mono();
-    message(node, &room::own_demands(node, now), now)
+    message(node, &deadline_admission::local_demands(node, now), now)
 }
 
 fn message(node: &EntryNode, demands: &FastMap<String, WorkDemand>, now: MonoTime) -> PeerMessage {
@@ -68,7 +68,7 @@
         works: demand.merged(TOLD_PARTS).into_iter().map(|work| told_work(work, now)).collect(),
     };
     let demands = demands.iter().map(report).collect();
-    let pace = node.jobs().board.own_run_time().figures();
+    let pace = node.jobs().table.own_run_time().figures();
     PeerMessage::Demand { demands, pace }
 }
 
@@ -98,12 +98,12 @@
 
 fn note_places(node: &EntryNode, now: MonoTime) {
     let places = node.targets().item_slots(now);
-    let mut desk = node.jobs();
+    let mut registry = node.jobs();
     let mut intake = node.intake();
     for (service, places) in &places {
         intake.record_slots(service, *places, now);
     }
     intake.expire(|service| places.contains_key(service), now);
-    let pace = intake.run_time(desk.board.own_run_time().figures());
-    desk.board.set_shared_run_time(pace);
+    let pace = intake.run_time(registry.table.own_run_time().figures());
+    registry.table.set_shared_run_time(pace);
 }
--- a/crates/entry/src/peers/hub.rs
+++ b/crates/entry/src/peers/hub.rs
@@ -47,7 +47,8 @@
     register(&node).await;
     let sink = link_sink(&node);
     let entries = Some(&node.peers.entries);
-    let feed = FeedPlan { pause: GATEWAY_WATCH_PAUSE, answered: entries, ..FeedPlan::default() };
+    let feed =
+        FeedPlan { pause: GATEWAY_WATCH_PAUSE, answer_clock: entries, ..FeedPlan::default() };
     follow(&node.store, GATEWAY_KIND, feed, |event| match event {
         FeedEvent::Snapshot { objects, .. } => {
             for object in &objects {
@@ -197,7 +198,7 @@
         PeerMessage::JobClosed(job) => {
             node.jobs().note_closed(&job, node.clock.mono());
         }
-        PeerMessage::JobEnded(job) => ends::take_end(node, &job, "gateway"),
+        PeerMessage::JobEnded(job) => ends::apply_job_end(node, &job, "gateway"),
         PeerMessage::JobAsk { call, job, account, after, wait_ms } => {
             let node = Arc::clone(node);
             let vm = peer.vm.clone();
@@ -213,7 +214,7 @@
             bodies::answer_peer(node, &peer.vm, call, (&job, &item), &account);
         }
         PeerMessage::BodyTold { call, is_known, body } => {
-            bodies::take_told(node, call, is_known, body);
+            bodies::receive_body(node, call, is_known, body);
         }
         PeerMessage::JobProgress { job, items } => node.jobs().keep_progress(&job, items),
         PeerMessage::RequestBroke { fingerprint, target } => {
@@ -232,13 +233,13 @@
             node.peers.share_calls.answer(call, KeptShare { holder, kept, ended_per_second });
         }
         PeerMessage::Shares { limit, revision, table } => {
-            limits::take_shares(node, &limit, revision, table);
+            limits::apply_shares(node, &limit, revision, table);
         }
         PeerMessage::StoreAnswer { call, end } => node.peers.store_calls.answer(call, end),
         PeerMessage::PlaceAsk { call, service, avoid, may_displace } => {
             places::answer(node, &peer.vm, call, &service, &avoid, may_displace);
         }
-        PeerMessage::PlaceRevoke { target } => runner::yield_place(node, &target),
+        PeerMessage::PlaceRevoke { target } => runner::preempt_newest_item(node, &target),
         PeerMessage::PlaceAnswer { call, answer } => {
             places::take_answer(node, &peer.vm, call, answer);
         }
@@ -316,7 +317,7 @@
     node.peers.catch_up().note_part(is_last, now);
     if let Some(changes) = targets {
         let mut feed = node.target_feed();
-        let changes = feed.take_changes(changes, now);
+        let changes = feed.apply_changes(changes, now);
         let revision = feed.revision();
         drop(feed);
         node.apply_target_changes(changes, peer.vm.as_str(), revision);
@@ -331,12 +332,12 @@
         if is_owned {
             ownership::doubt(node, job, "claimed");
         } else {
-            let mut desk = node.jobs();
-            if desk.is_busy(job) {
+            let mut registry = node.jobs();
+            if registry.is_busy(job) {
                 // It is being taken over here: whichever of the two came first, the store tells.
-                desk.board.invalidate_all_ownership();
+                registry.table.invalidate_all_ownership();
             }
-            desk.note_owner(std::slice::from_ref(job), owner);
+            registry.note_owner(std::slice::from_ref(job), owner);
         }
     }
     // Readers that waited for an owner ask it now.
