--- a/crates/entry/src/batch/bodies.rs
+++ b/crates/entry/src/batch/bodies.rs
@@ -15,7 +15,7 @@
         read_tally::{ReadKind, ReadSource},
         reads::{ReadAnswer, learn_job, note_read, unsure},
     },
-    constants::BODY_ASK,
+    constants::BODY_PEER_TIMEOUT,
     front::answer::OwnAnswer,
     node::EntryNode,
     peers::{calls::CallEnd, table::ToldBody},
@@ -86,7 +86,7 @@
     let (job, item, account) = (job.to_owned(), item.to_owned(), account.to_owned());
     let question = |call| PeerMessage::BodyAsk { call, job, item, account };
     let send = |call| node.peers.send_to_owner(&owner, question(call));
-    match node.peers.body_calls.ask(send, BODY_ASK).await {
+    match node.peers.body_calls.ask(send, BODY_PEER_TIMEOUT).await {
         CallEnd::Answered(told) if told.is_known => Some(told.body),
         CallEnd::Answered(_) | CallEnd::NotSent | CallEnd::Unanswered => None,
     }
--- a/crates/entry/src/batch/intake.rs
+++ b/crates/entry/src/batch/intake.rs
@@ -19,7 +19,8 @@
         room,
     },
     constants::{
-        INTAKE_PATIENCE, JOB_BYTES, RETRY_AFTER, RETRY_AFTER_START, STORE_PAUSE, STORING_QUIET,
+        INTAKE_TIMEOUT, JOB_BYTES, JOB_STORING_NOTICE_DELAY, RETRY_AFTER, RETRY_AFTER_START,
+        STORE_PAUSE,
     },
     front::answer::OwnAnswer,
     node::EntryNode,
@@ -144,12 +145,12 @@
         shared.jobs().finish(&id);
         outcome
     });
-    if let Ok(outcome) = timeout(STORING_QUIET, &mut storing).await {
+    if let Ok(outcome) = timeout(JOB_STORING_NOTICE_DELAY, &mut storing).await {
         return Some(outcome);
     }
     // Its client may send it again to a gateway that would refuse it.
     node.peers.broadcast(&PeerMessage::JobStoring(id));
-    timeout(INTAKE_PATIENCE - STORING_QUIET, storing).await.ok()
+    timeout(INTAKE_TIMEOUT - JOB_STORING_NOTICE_DELAY, storing).await.ok()
 }
 
 /// Refuses a job, unless another gateway took it in before without our hearing of it: it runs then, and a
@@ -182,7 +183,7 @@
             if desk.is_known(id) {
                 return true;
             }
-            let is_over = node.clock.mono().since(arrived) >= INTAKE_PATIENCE;
+            let is_over = node.clock.mono().since(arrived) >= INTAKE_TIMEOUT;
             if !desk.is_busy(id) || is_over {
                 return false;
             }
--- a/crates/entry/src/batch/limit_asks.rs
+++ b/crates/entry/src/batch/limit_asks.rs
@@ -10,7 +10,7 @@
         limits::{refresh, with_holder},
         stored_jobs::list_jobs,
     },
-    constants::{LIMIT_ASK, SHARE_SILENCE},
+    constants::{LIMIT_PEER_TIMEOUT, SHARE_HOLDER_TIMEOUT},
     node::EntryNode,
     peers::{
         calls::CallEnd,
@@ -80,7 +80,7 @@
         node.metrics.count(Counter::Event("limit_shares_asked"));
         node.peers.send(vm, PeerMessage::ShareAsk { call, limit: route.to_owned() })
     };
-    match node.peers.share_calls.ask(send, LIMIT_ASK).await {
+    match node.peers.share_calls.ask(send, LIMIT_PEER_TIMEOUT).await {
         CallEnd::Answered(kept) => Some(kept),
         CallEnd::NotSent | CallEnd::Unanswered => None,
     }
@@ -91,7 +91,7 @@
     let now = node.clock.mono();
     let is_alive = |holder: &str| node.liveness(holder, now) == OwnerLiveness::Alive;
     let (silent, revision) = with_holder(node, route, |holder, _| {
-        (holder.silent_holders(is_alive, SHARE_SILENCE, now), holder.revision())
+        (holder.silent_holders(is_alive, SHARE_HOLDER_TIMEOUT, now), holder.revision())
     });
     if silent.is_empty() {
         return;
--- a/crates/entry/src/batch/limits.rs
+++ b/crates/entry/src/batch/limits.rs
@@ -21,7 +21,7 @@
         desk::JobDesk,
         limit_asks::{AskedShares, ask_in_turn},
     },
-    constants::{LIMIT_CALL, LIMIT_PATIENCE, LIMIT_ROUNDS, ROOM_TICK},
+    constants::{LIMIT_DECISION_TIMEOUT, LIMIT_SHARE_ATTEMPTS, LIMIT_STORE_TIMEOUT, ROOM_TICK},
     node::EntryNode,
     store::{
         call_cause::StoreCallCause,
@@ -58,7 +58,7 @@
         return LimitOutcome::Reserved;
     }
     let reserving = decide(node, limit, job, tokens);
-    let outcome = timeout(LIMIT_PATIENCE, reserving).await.unwrap_or(LimitOutcome::Unknown);
+    let outcome = timeout(LIMIT_DECISION_TIMEOUT, reserving).await.unwrap_or(LimitOutcome::Unknown);
     node.limits.used.notify(usize::MAX);
     if outcome != LimitOutcome::Reserved {
         let used = node.jobs().limit_tokens(&limit.name);
@@ -84,7 +84,7 @@
 async fn decide(node: &EntryNode, limit: &WaitingLimit, job: &str, tokens: u64) -> LimitOutcome {
     let arrived = node.clock.mono();
     let mut asked: Option<AskedShares> = None;
-    for _ in 0..LIMIT_ROUNDS {
+    for _ in 0..LIMIT_SHARE_ATTEMPTS {
         match take_held(node, limit, job, tokens) {
             ShareRoom::Held => return LimitOutcome::Reserved,
             ShareRoom::Free => match write_in_turn(node, limit, job, tokens).await {
@@ -200,7 +200,7 @@
     propose: impl Fn(&mut ShareHolder, &JobDesk) -> ShareProposal,
 ) -> Result<(), StoreFailure> {
     let _turn = begin_turn(node, route).await;
-    for _ in 0..LIMIT_ROUNDS {
+    for _ in 0..LIMIT_SHARE_ATTEMPTS {
         let proposal = with_holder(node, route, |holder, desk| propose(holder, desk));
         match write(node, route, proposal, |_| {}).await {
             ShareWrite::Done => return Ok(()),
@@ -335,7 +335,7 @@
         None => ("POST", list_path(SHARE_KIND, None)),
         Some(_) => ("PUT", object_path(SHARE_KIND, &name)),
     };
-    let wait = node.store.settings().call_timeout.min(LIMIT_CALL);
+    let wait = node.store.settings().call_timeout.min(LIMIT_STORE_TIMEOUT);
     let sent = node.store.call(StoreCallCause::LimitShares, method, &path, Some(&body), wait).await;
     if let Ok(reply) = &sent
         && reply.is_success()
@@ -363,7 +363,7 @@
 /// The store doesn't tell them.
 pub(crate) async fn refresh(node: &EntryNode, route: &str) -> Result<(), StoreFailure> {
     let path = object_path(SHARE_KIND, &object_name(route));
-    let wait = node.store.settings().call_timeout.min(LIMIT_CALL);
+    let wait = node.store.settings().call_timeout.min(LIMIT_STORE_TIMEOUT);
     let reply = node.store.call(StoreCallCause::LimitShares, "GET", &path, None, wait).await?;
     if adopt_reply(node, route, &reply) { Ok(()) } else { Err(StoreFailure::Unknown) }
 }
--- a/crates/entry/src/batch/looks.rs
+++ b/crates/entry/src/batch/looks.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     batch::records::read_job,
-    constants::{REFUSAL_LOOK, RESEND_SPAN},
+    constants::{CLIENT_RESEND_WINDOW, REFUSAL_LOOKUP_TIMEOUT},
     node::EntryNode,
     store::{call_cause::StoreCallCause, reply::StoreFailure},
 };
@@ -67,10 +67,11 @@
         (desk.looks.take(gateways, now), desk.may_be_stored_elsewhere(job))
     };
     if !may_look {
-        let is_known = !is_storing && node.peers.knows_each_job(RESEND_SPAN, now);
+        let is_known = !is_storing && node.peers.knows_each_job(CLIENT_RESEND_WINDOW, now);
         return if is_known { JobTrace::None } else { JobTrace::Unclear };
     }
-    let looking = timeout(REFUSAL_LOOK, read_job(&node.store, job, StoreCallCause::JobStored));
+    let looking =
+        timeout(REFUSAL_LOOKUP_TIMEOUT, read_job(&node.store, job, StoreCallCause::JobStored));
     match looking.await.unwrap_or(Err(StoreFailure::Unknown)) {
         Ok(Some(_)) => JobTrace::Taken,
         Ok(None) if is_storing => JobTrace::Unclear,
--- a/crates/entry/src/batch/ownership.rs
+++ b/crates/entry/src/batch/ownership.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     batch::{closing::close_whole_job, limits, records::read_job},
-    constants::{STORE_DOUBT, VERIFY_DELAY},
+    constants::{VERIFY_DELAY, WRITE_CONFIRM_TIMEOUT},
     node::EntryNode,
     peers::table::PeerSilence,
     store::{call_cause::StoreCallCause, reply::StoreFailure, retry::until_answered},
@@ -26,7 +26,8 @@
         return false;
     }
     let desk = node.jobs();
-    let is_sure = |job: &OwnedJob| job.is_confirmed() && !job.is_storing_since(now - STORE_DOUBT);
+    let is_sure =
+        |job: &OwnedJob| job.is_confirmed() && !job.is_storing_since(now - WRITE_CONFIRM_TIMEOUT);
     desk.board.get(job).is_some_and(is_sure)
 }
 
--- a/crates/entry/src/batch/reads.rs
+++ b/crates/entry/src/batch/reads.rs
@@ -16,7 +16,9 @@
         read_tally::{ReadKind, ReadSource},
         records::{read_job, read_results as stored_results, read_spec},
     },
-    constants::{ASK_GRACE, ASK_WAIT, RESULT_PAGE_BYTES, RETRY_AFTER, STORE_ASK_PAUSE},
+    constants::{
+        PEER_CALL_GRACE, PEER_READ_WAIT, RESULT_PAGE_BYTES, RETRY_AFTER, UNOWNED_JOB_READ_INTERVAL,
+    },
     front::answer::OwnAnswer,
     node::EntryNode,
     peers::{calls::CallEnd, table::OwnerLiveness},
@@ -162,7 +164,7 @@
 /// twice a second.
 fn waits_for_owner(node: &EntryNode, job: &str, copy: &JobCopy) -> bool {
     let now = node.clock.mono();
-    let is_recent = copy.asked_at.is_some_and(|asked| now.since(asked) < STORE_ASK_PAUSE);
+    let is_recent = copy.asked_at.is_some_and(|asked| now.since(asked) < UNOWNED_JOB_READ_INTERVAL);
     if !is_recent {
         return false;
     }
@@ -214,7 +216,8 @@
     let told = node.jobs().owner(job).map(str::to_owned);
     let mut is_sure = false;
     if let Some(owner) = told.or_else(|| copy.owner.clone()) {
-        is_sure = ask_owner(node, &owner, (job, account), &mut copy, left.min(ASK_WAIT)).await;
+        is_sure =
+            ask_owner(node, &owner, (job, account), &mut copy, left.min(PEER_READ_WAIT)).await;
     }
     let has_news = copy.total.is_some() && copy.lines.len() > after;
     if !is_sure && !has_news {
@@ -280,7 +283,7 @@
         let message = PeerMessage::JobAsk { call, job, account, after, wait_ms };
         node.peers.send_to_owner(owner, message)
     };
-    let news = match node.peers.job_calls.ask(send, wait + ASK_GRACE).await {
+    let news = match node.peers.job_calls.ask(send, wait + PEER_CALL_GRACE).await {
         CallEnd::Answered(news) if news.total > 0 => news,
         CallEnd::Answered(_) | CallEnd::NotSent | CallEnd::Unanswered => return false,
     };
--- a/crates/entry/src/batch/room.rs
+++ b/crates/entry/src/batch/room.rs
@@ -5,7 +5,7 @@
 use notch_relay::prelude::*;
 use notch_types::prelude::*;
 
-use crate::{batch::desk::JobDesk, constants::DEMAND_UNHEARD, node::EntryNode};
+use crate::{batch::desk::JobDesk, constants::DEMAND_SYNC_TIME, node::EntryNode};
 
 /// Refuses whatever comes on a route while not even one item could be done in time: when to come back. Asked before
 /// a job is decoded, as in a burst each comes again and again.
@@ -74,7 +74,7 @@
 /// The part of the places that this gateway may fill: all of them, as it knows what waits at the others. One that has
 /// just started doesn't yet, and would take in all that comes.
 fn own_part(node: &EntryNode, now: MonoTime) -> f64 {
-    let is_new = now.since(MonoTime::default()) < DEMAND_UNHEARD && !node.peers.hears_all(now);
+    let is_new = now.since(MonoTime::default()) < DEMAND_SYNC_TIME && !node.peers.hears_all(now);
     if is_new { 1.0 / (node.peers.known_count() + 1) as f64 } else { 1.0 }
 }
 
--- a/crates/entry/src/batch/takeover.rs
+++ b/crates/entry/src/batch/takeover.rs
@@ -14,7 +14,7 @@
         records::{StoredJob, fence_results, read_end, read_job, read_spec, take_job},
         stored_jobs::list_jobs,
     },
-    constants::{ORPHANS_AGAIN, ORPHANS_FIRST, PEER_TICK},
+    constants::{ORPHAN_SEARCH_DELAY, ORPHAN_SEARCH_INTERVAL, PEER_TICK},
     node::EntryNode,
     peers::table::OwnerLiveness,
     store::{call_cause::StoreCallCause, feed::StorePath, reply::StoreFailure},
@@ -22,7 +22,7 @@
 
 /// Searches for jobs without an owner: once after the start, and whenever an owner is lost.
 pub async fn watch_owners(node: Arc<EntryNode>) {
-    task::sleep(ORPHANS_FIRST).await;
+    task::sleep(ORPHAN_SEARCH_DELAY).await;
     let mut next_search = Some(node.clock.mono());
     let mut live = node.peers.live_vms();
     loop {
@@ -36,7 +36,7 @@
             next_search = match take_orphans(&node).await {
                 Ok(0) => None,
                 // Others are nearer to these, or the store is away: look again.
-                Ok(_) | Err(_) => Some(node.clock.mono() + ORPHANS_AGAIN),
+                Ok(_) | Err(_) => Some(node.clock.mono() + ORPHAN_SEARCH_INTERVAL),
             };
         }
         task::sleep(PEER_TICK).await;
--- a/crates/entry/src/front/connection.rs
+++ b/crates/entry/src/front/connection.rs
@@ -15,7 +15,9 @@
 use crate::{
     accounts::admission::{self, AdmissionRefusal},
     batch::{bodies, ends, intake, reads},
-    constants::{AHEAD_BYTES, BODY_TIMEOUT, KNOWLEDGE_TICK, KNOWLEDGE_WAIT, RETRY_AFTER_START},
+    constants::{
+        BODY_TIMEOUT, READ_AHEAD_BYTES, RETRY_AFTER_START, STARTUP_STATE_POLL, STARTUP_STATE_WAIT,
+    },
     front::answer::OwnAnswer,
     node::EntryNode,
     online::{
@@ -63,10 +65,10 @@
         let began = self.node.clock.mono();
         loop {
             let routes = self.node.routes();
-            if self.node.has_begun() || self.node.clock.mono().since(began) >= KNOWLEDGE_WAIT {
+            if self.node.has_begun() || self.node.clock.mono().since(began) >= STARTUP_STATE_WAIT {
                 return routes;
             }
-            task::sleep(KNOWLEDGE_TICK).await;
+            task::sleep(STARTUP_STATE_POLL).await;
         }
     }
 
@@ -281,7 +283,7 @@
 /// Ends when the client closes its connection. What it sends ahead is kept, up to a bound.
 async fn client_left(reader: &mut WireReader) {
     loop {
-        if reader.held() > AHEAD_BYTES {
+        if reader.held() > READ_AHEAD_BYTES {
             pending::<()>().await;
         }
         match reader.fill().await {
--- a/crates/entry/src/gateway.rs
+++ b/crates/entry/src/gateway.rs
@@ -16,7 +16,9 @@
 use crate::{
     accounts::{credit, freshness},
     batch::{ends, limits, retention, runner, takeover},
-    constants::{STOP_ACCEPT, STOP_IDLE, STOP_JOBS, STOP_JOBS_ALONE, STOP_LONGEST},
+    constants::{
+        STOP_ACCEPT, STOP_DEADLINE, STOP_IDLE, STOP_JOB_HANDOVER, STOP_JOB_HANDOVER_ALONE,
+    },
     error::EntryError,
     forgetting::forget_routes,
     front::{
@@ -233,7 +235,9 @@
         credit::look(node, node.clock.mono());
         let age = node.stop.age(node.clock.mono());
         let has_successors = !node.peers.successor_vms().is_empty();
-        if !jobs_left && (age >= STOP_JOBS_ALONE || (has_successors && age >= STOP_JOBS)) {
+        if !jobs_left
+            && (age >= STOP_JOB_HANDOVER_ALONE || (has_successors && age >= STOP_JOB_HANDOVER))
+        {
             leave_jobs(node).await;
             jobs_left = true;
         }
@@ -241,7 +245,7 @@
             node.stop.end_idle();
         }
         let is_quiet = node.stop.active() == 0 && (jobs_left || node.jobs().board.is_idle());
-        if age >= STOP_LONGEST || (is_quiet && age >= STOP_IDLE.max(STOP_ACCEPT)) {
+        if age >= STOP_DEADLINE || (is_quiet && age >= STOP_IDLE.max(STOP_ACCEPT)) {
             break;
         }
     }
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -20,7 +20,7 @@
     accounts::state::AccountState,
     batch::{desk::JobDesk, limit_desk::LimitDesk, read_tally::ReadTallies},
     clock::NodeClock,
-    constants::WATCHERS,
+    constants::STORE_WATCHERS,
     peers::{
         catch_up::KnownVersions,
         table::{OwnerLiveness, PeerTable},
@@ -357,7 +357,7 @@
 
     /// Whether this gateway has to follow the store itself: too few before it do.
     pub fn must_watch(&self) -> bool {
-        self.peers.watchers_before(&self.config.node.vm) < WATCHERS
+        self.peers.watchers_before(&self.config.node.vm) < STORE_WATCHERS
     }
 
     /// Whether the gateway that `owner` names is there; an earlier incarnation of this one isn't.
--- a/crates/entry/src/online/relay.rs
+++ b/crates/entry/src/online/relay.rs
@@ -19,8 +19,8 @@
 
 use crate::{
     constants::{
-        ANSWER_BODY_BYTES, COME_BACK_OBJECTIVES, FIRST_BYTE_FREE, FIRST_BYTE_QUEUED,
-        NO_PLACE_LONGEST, NO_PLACE_PAUSE, NOT_RUN_TRIES, RETRY_AFTER,
+        ANSWER_BODY_BYTES, FIRST_BYTE_FREE_FACTOR, FIRST_BYTE_QUEUED_FACTOR, MAX_NOT_RUN_RETRIES,
+        MIN_RETRY_OBJECTIVES, NO_PLACE_RETRY_INTERVAL, NO_PLACE_TIMEOUT, RETRY_AFTER,
     },
     node::EntryNode,
     online::{crashes, lease::TargetLease, places, request::OnlineRequest},
@@ -64,7 +64,7 @@
     let Some(patience) = request.patience else { return QueueLimit::Any };
     let has_come_back = node.patience().has_come_back(&request.route.name, patience);
     // Clients wait for a third of their time at most before they come back.
-    let can_come_back = patience >= objective * COME_BACK_OBJECTIVES;
+    let can_come_back = patience >= objective * MIN_RETRY_OBJECTIVES;
     if has_come_back || !can_come_back || request.last_event().is_some() {
         return QueueLimit::Any;
     }
@@ -145,10 +145,10 @@
                 let since = *searching_since.get_or_insert(now);
                 // Only an answer that has begun is worth a wait for a place: a new request is told
                 // at once when to come back.
-                if !self.head_sent || now.since(since) > NO_PLACE_LONGEST {
+                if !self.head_sent || now.since(since) > NO_PLACE_TIMEOUT {
                     return self.give_up("no_place").await;
                 }
-                task::sleep(NO_PLACE_PAUSE).await;
+                task::sleep(NO_PLACE_RETRY_INTERVAL).await;
                 continue;
             };
             searching_since = None;
@@ -276,7 +276,8 @@
         if !self.has_attempts() {
             return left;
         }
-        let share = if choice.place_free { FIRST_BYTE_FREE } else { FIRST_BYTE_QUEUED };
+        let share =
+            if choice.place_free { FIRST_BYTE_FREE_FACTOR } else { FIRST_BYTE_QUEUED_FACTOR };
         self.request.route.objective.mul_f64(share).min(left)
     }
 
@@ -323,7 +324,7 @@
 
     fn may_try_again(&self, failure: AttemptFailure) -> bool {
         match failure.verdict() {
-            RunVerdict::NotRun => self.not_run <= NOT_RUN_TRIES,
+            RunVerdict::NotRun => self.not_run <= MAX_NOT_RUN_RETRIES,
             RunVerdict::Unknown => {
                 self.request.route.may_repeat() && self.unknown < self.request.route.max_attempts
             }
--- a/crates/entry/src/online/stream.rs
+++ b/crates/entry/src/online/stream.rs
@@ -8,7 +8,7 @@
 use notch_relay::prelude::*;
 
 use crate::{
-    constants::STALL_SHARE,
+    constants::STALL_FACTOR,
     online::relay::{AttemptEnd, RequestRelay},
     target::connection::TargetConnection,
 };
@@ -108,6 +108,6 @@
         } else {
             self.request.route.objective
         };
-        gap.mul_f64(STALL_SHARE).min(left)
+        gap.mul_f64(STALL_FACTOR).min(left)
     }
 }
--- a/crates/entry/src/peers/detours.rs
+++ b/crates/entry/src/peers/detours.rs
@@ -8,7 +8,7 @@
 use notch_types::prelude::*;
 
 use crate::{
-    constants::ASK_GRACE,
+    constants::PEER_CALL_GRACE,
     node::EntryNode,
     peers::calls::CallEnd,
     store::{
@@ -48,7 +48,7 @@
     let body = body.map(Payload::from);
     let send =
         |call| node.peers.send(vm, PeerMessage::StoreCall { call, method, path, body, wait_ms });
-    let end = match node.peers.store_calls.ask(send, wait + ASK_GRACE).await {
+    let end = match node.peers.store_calls.ask(send, wait + PEER_CALL_GRACE).await {
         CallEnd::NotSent => return None,
         CallEnd::Answered(StoreCallEnd::Answered { status, body }) => {
             Ok(StoreReply { status, body: body.to_vec() })
--- a/crates/entry/src/peers/table.rs
+++ b/crates/entry/src/peers/table.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     accounts::freshness::ToldAge,
-    constants::{ENTRIES_FRESH, FIRST_LINK, OWNER_DOUBT, PEER_DEAD},
+    constants::{ENTRIES_FRESH, FIRST_LINK_TIMEOUT, PEER_DEAD_AFTER, PEER_SILENT_AFTER},
     peers::{calls::CallTable, catch_up::CatchUp, record::GatewayEntry, traffic::PeerTraffic},
     store::feed_clock::FeedClock,
 };
@@ -454,13 +454,13 @@
         let is_known = self.entry.is_some() || self.was_linked;
         is_known
             && !self.is_leaving
-            && (self.link.is_none() || now.since(self.heard_at) >= OWNER_DOUBT)
+            && (self.link.is_none() || now.since(self.heard_at) >= PEER_SILENT_AFTER)
     }
 
     /// How long it may be without a link before it is taken for dead. One that was never linked to may live
     /// and not have heard of us yet, when it's we who have just started.
     fn patience(&self) -> Duration {
-        if self.was_linked { PEER_DEAD } else { FIRST_LINK }
+        if self.was_linked { PEER_DEAD_AFTER } else { FIRST_LINK_TIMEOUT }
     }
 
     fn new(now: MonoTime) -> Self {
--- a/crates/entry/src/store/detour.rs
+++ b/crates/entry/src/store/detour.rs
@@ -10,7 +10,7 @@
 use notch_types::prelude::*;
 
 use crate::{
-    constants::{DETOUR_AFTER, DETOUR_LONGEST, DETOUR_PAUSE},
+    constants::{DETOUR_AFTER, DETOUR_PAUSE, DETOUR_PROBE_INTERVAL},
     store::reply::{StoreFailure, StoreReply},
 };
 
@@ -58,7 +58,7 @@
         }
         // Nothing else tells that the store answers again: its watches may wait for half a minute.
         if now >= self.direct_at {
-            self.direct_at = now + DETOUR_LONGEST;
+            self.direct_at = now + DETOUR_PROBE_INTERVAL;
             return CallWay::DirectFirst;
         }
         CallWay::Detour
--- a/crates/entry/src/store/feed.rs
+++ b/crates/entry/src/store/feed.rs
@@ -9,7 +9,7 @@
 };
 
 use crate::{
-    constants::{DUTY_START, DUTY_TICK, STORE_PAUSE, WATCH_GRACE},
+    constants::{STORE_PAUSE, WATCH_CHECK_INTERVAL, WATCH_GRACE, WATCH_START_DELAY},
     node::EntryNode,
     store::{
         call_cause::StoreCallCause, client::StoreClient, feed_clock::FeedClock,
@@ -57,7 +57,7 @@
     /// Waits until it's this gateway's duty to follow the kind.
     async fn await_duty(&self) {
         while self.duty.is_some_and(|node| !node.must_watch()) {
-            task::sleep(DUTY_TICK).await;
+            task::sleep(WATCH_CHECK_INTERVAL).await;
         }
     }
 
@@ -84,7 +84,7 @@
         node.watch.add_feed();
     }
     if plan.start == FeedStart::OnDuty {
-        task::sleep(DUTY_START).await;
+        task::sleep(WATCH_START_DELAY).await;
         plan.await_duty().await;
     }
     let mut failures = 0;
--- a/crates/entry/src/target/pool.rs
+++ b/crates/entry/src/target/pool.rs
@@ -13,7 +13,9 @@
 use notch_types::prelude::*;
 
 use crate::{
-    constants::{IDLE_DEFAULT, IDLE_MARGIN, IDLE_PER_TARGET, IDLE_STRICT, TARGET_CONNECT},
+    constants::{
+        IDLE_DEFAULT, IDLE_MARGIN, IDLE_PER_TARGET, NON_REPEATABLE_MAX_IDLE, TARGET_CONNECT,
+    },
     target::connection::TargetConnection,
 };
 
@@ -89,7 +91,7 @@
         // The one used last comes first: the others age and are dropped when the crest is over.
         while let Some(connection) = list.pop() {
             let age = connection.since.elapsed();
-            let too_old = age >= connection.lifetime || (strict && age >= IDLE_STRICT);
+            let too_old = age >= connection.lifetime || (strict && age >= NON_REPEATABLE_MAX_IDLE);
             if !too_old && !connection.reader.is_spoiled() {
                 return Some(connection.reader);
             }
