--- a/crates/entry/src/batch/bodies.rs
+++ b/crates/entry/src/batch/bodies.rs
@@ -18,7 +18,7 @@
     constants::BODY_PEER_TIMEOUT,
     front::answer::OwnAnswer,
     node::EntryNode,
-    peers::{calls::CallEnd, table::ToldBody},
+    peers::{calls::CallEnd, table::ItemBodyReply},
 };
 
 /// Bytes of a body in an answer to another gateway, at most: well under a link's largest message.
@@ -116,7 +116,7 @@
 
 /// Takes another gateway's answer.
 pub fn take_told(node: &EntryNode, call: u64, is_known: bool, body: Option<Payload>) {
-    node.peers.body_calls.answer(call, ToldBody { is_known, body });
+    node.peers.body_calls.answer(call, ItemBodyReply { is_known, body });
 }
 
 fn body_of<'a>(spec: &'a JobSpec, item: &str) -> Option<&'a [u8]> {
--- a/crates/entry/src/batch/commits.rs
+++ b/crates/entry/src/batch/commits.rs
@@ -71,11 +71,11 @@
         owned.stored(now);
         owned.is_closed()
     };
-    node.job_news.notify(usize::MAX);
+    node.job_updates.notify(usize::MAX);
     node.runner_wake.notify(usize::MAX);
     if is_closed {
         close_whole_job(node, job).await;
-    } else if !node.peers.hears_all(node.clock.mono()) {
+    } else if !node.peers.hears_all_peers(node.clock.mono()) {
         ownership::verify(node, job).await;
     }
 }
@@ -94,6 +94,6 @@
             return;
         }
     }
-    node.job_news.notify(usize::MAX);
+    node.job_updates.notify(usize::MAX);
     ownership::verify(node, job).await;
 }
--- a/crates/entry/src/batch/ends.rs
+++ b/crates/entry/src/batch/ends.rs
@@ -68,7 +68,7 @@
     desk.note_closed(job, now);
     drop(desk);
     node.log.info("job_ended", &[("job", &job), ("source", &source), ("owned", &was_owned)]);
-    node.job_news.notify(usize::MAX);
+    node.job_updates.notify(usize::MAX);
     if source == "store" {
         // Gateways that don't follow the store hear of it from here.
         node.peers.broadcast(&PeerMessage::JobEnded(job.to_owned()));
--- a/crates/entry/src/batch/limits.rs
+++ b/crates/entry/src/batch/limits.rs
@@ -126,7 +126,7 @@
 
 /// Counts the job if it's within what is held here; whether it is, and what is missing.
 fn take_held(node: &EntryNode, limit: &WaitingLimit, job: &str, tokens: u64) -> ShareRoom {
-    let is_in_touch = node.peers.hears_all(node.clock.mono());
+    let is_in_touch = node.peers.hears_all_peers(node.clock.mono());
     with_holder(node, &limit.name, |holder, desk| {
         let used = desk.limit_tokens(&limit.name);
         let room = holder.room(used, tokens, limit.tokens, is_in_touch);
@@ -166,7 +166,7 @@
 /// The next step, which is counted already if it's granted.
 fn next_step(node: &EntryNode, limit: &WaitingLimit, job: &str, tokens: u64) -> ShareStep {
     let gateways = node.peers.known_count() as u64 + 1;
-    let is_in_touch = node.peers.hears_all(node.clock.mono());
+    let is_in_touch = node.peers.hears_all_peers(node.clock.mono());
     with_holder(node, &limit.name, |holder, desk| {
         let used = desk.limit_tokens(&limit.name);
         let step = holder.step(used, tokens, limit.tokens, gateways, is_in_touch);
@@ -218,7 +218,7 @@
         // News, or the end of the pause: both lead to another look.
         let _ = timeout(ROOM_TICK, listener).await;
         let now = node.clock.mono();
-        let is_able = node.store.outage().is_up() && node.peers.hears_all(now);
+        let is_able = node.store.outage().is_up() && node.peers.hears_all_peers(now);
         if !is_able || node.stop.is_stopping() {
             continue;
         }
--- a/crates/entry/src/batch/looks.rs
+++ b/crates/entry/src/batch/looks.rs
@@ -67,7 +67,7 @@
         (desk.looks.take(gateways, now), desk.may_be_stored_elsewhere(job))
     };
     if !may_look {
-        let is_known = !is_storing && node.peers.knows_each_job(CLIENT_RESEND_WINDOW, now);
+        let is_known = !is_storing && node.peers.knows_all_recent_jobs(CLIENT_RESEND_WINDOW, now);
         return if is_known { JobTrace::None } else { JobTrace::Unclear };
     }
     let looking =
--- a/crates/entry/src/batch/ownership.rs
+++ b/crates/entry/src/batch/ownership.rs
@@ -40,7 +40,7 @@
     desk.board.doubt_all();
     let jobs = desk.open_owned().len();
     drop(desk);
-    if silence == PeerSilence::OfMost {
+    if silence == PeerSilence::Majority {
         let node = Arc::clone(node);
         task::spawn(async move { verify_all(&node).await });
     }
@@ -80,7 +80,7 @@
 
 /// Whether no other gateway can have taken a job over that this one was confirmed to own.
 fn is_in_touch(node: &EntryNode, now: MonoTime) -> bool {
-    node.peers.knows_all(now) && node.peers.hears_all(now)
+    node.peers.has_fresh_entries(now) && node.peers.hears_all_peers(now)
 }
 
 /// Checks every job that we run, once for all calls that come together.
@@ -148,5 +148,5 @@
     if let Some(limit) = limit {
         limits::cede(node, &limit);
     }
-    node.job_news.notify(usize::MAX);
+    node.job_updates.notify(usize::MAX);
 }
--- a/crates/entry/src/batch/reads.rs
+++ b/crates/entry/src/batch/reads.rs
@@ -112,7 +112,7 @@
     // In doubt the store is asked who owns the job; its answer serves all readers until the next doubt.
     let mut was_checked = false;
     loop {
-        let listener = node.job_news.listen();
+        let listener = node.job_updates.listen();
         let left = until.since(node.clock.mono());
         match read_state(node, job, after) {
             ReadState::Known(known) => {
@@ -316,7 +316,7 @@
         ownership::check_soon(node, job);
     }
     let known = loop {
-        let listener = node.job_news.listen();
+        let listener = node.job_updates.listen();
         let left = until.since(node.clock.mono());
         // An owner in doubt tells what it has, and that more may follow; who asks has a store to ask, too.
         let is_sure = ownership::is_sure(node, job);
--- a/crates/entry/src/batch/room.rs
+++ b/crates/entry/src/batch/room.rs
@@ -74,7 +74,8 @@
 /// The part of the places that this gateway may fill: all of them, as it knows what waits at the others. One that has
 /// just started doesn't yet, and would take in all that comes.
 fn own_part(node: &EntryNode, now: MonoTime) -> f64 {
-    let is_new = now.since(MonoTime::default()) < DEMAND_SYNC_TIME && !node.peers.hears_all(now);
+    let is_new =
+        now.since(MonoTime::default()) < DEMAND_SYNC_TIME && !node.peers.hears_all_peers(now);
     if is_new { 1.0 / (node.peers.known_count() + 1) as f64 } else { 1.0 }
 }
 
--- a/crates/entry/src/gateway.rs
+++ b/crates/entry/src/gateway.rs
@@ -238,7 +238,7 @@
         if !jobs_left
             && (age >= STOP_JOB_HANDOVER_ALONE || (has_successors && age >= STOP_JOB_HANDOVER))
         {
-            leave_jobs(node).await;
+            hand_over_jobs(node).await;
             jobs_left = true;
         }
         if age >= STOP_IDLE {
@@ -258,7 +258,7 @@
 
 /// Leaves the jobs to the other gateways, which take them over at once instead of after a silence,
 /// and go on from what their items' runs brought so far.
-pub async fn leave_jobs(node: &EntryNode) {
+pub async fn hand_over_jobs(node: &EntryNode) {
     node.stop.hand_over();
     let jobs = {
         let mut desk = node.jobs();
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -70,7 +70,7 @@
     /// Whether the process is stopping.
     pub stop: StopState,
     /// Told when results were stored or a job ended.
-    pub job_news: Event,
+    pub job_updates: Event,
     /// Told when a job is being taken in.
     pub jobs_taken: Event,
     /// Told when items may have become ready to run.
@@ -121,7 +121,7 @@
             pool: TargetPool::default(),
             peers: PeerTable::new(traffic),
             stop: StopState::default(),
-            job_news: Event::new(),
+            job_updates: Event::new(),
             jobs_taken: Event::new(),
             runner_wake: Event::new(),
             state_changed: Event::new(),
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -6,7 +6,7 @@
 pub mod detours;
 pub mod hub;
 pub mod pushes;
-pub mod record;
+pub mod registration;
 pub mod reports;
 pub mod table;
 pub mod traffic;
--- a/crates/entry/src/peers/hub.rs
+++ b/crates/entry/src/peers/hub.rs
@@ -24,7 +24,7 @@
     peers::{
         catch_up::{KnownVersions, StateQuestion},
         demands, detours, pushes,
-        record::{GATEWAY_KIND, GatewayEntry},
+        registration::{GATEWAY_KIND, GatewayEntry},
         reports,
         table::{JobNews, KeptShare, PeerSilence},
     },
@@ -57,7 +57,7 @@
         FeedEvent::Changed { object } => put_gateway(&node, object, &settings, &sink),
         FeedEvent::Deleted { object, .. } => {
             node.peers.remove_entry(&VmName::new(&object.metadata.name));
-            ownership::doubt_all(&node, "entry_gone", PeerSilence::OfFew);
+            ownership::doubt_all(&node, "entry_gone", PeerSilence::Minority);
         }
     })
     .await;
@@ -340,5 +340,5 @@
         }
     }
     // Readers that waited for an owner ask it now.
-    node.job_news.notify(usize::MAX);
+    node.job_updates.notify(usize::MAX);
 }
--- a/crates/entry/src/peers/table.rs
+++ b/crates/entry/src/peers/table.rs
@@ -16,7 +16,9 @@
 use crate::{
     accounts::freshness::ToldAge,
     constants::{ENTRIES_FRESH, FIRST_LINK_TIMEOUT, PEER_DEAD_AFTER, PEER_SILENT_AFTER},
-    peers::{calls::CallTable, catch_up::CatchUp, record::GatewayEntry, traffic::PeerTraffic},
+    peers::{
+        calls::CallTable, catch_up::CatchUp, registration::GatewayEntry, traffic::PeerTraffic,
+    },
     store::feed_clock::FeedClock,
 };
 
@@ -50,15 +52,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerSilence {
     /// Few: they were away.
-    OfFew,
+    Minority,
     /// Most: rather this gateway was cut off, or stood still.
-    OfMost,
+    Majority,
 }
 
 impl PeerSilence {
     fn among(peers: &FastMap<VmName, PeerRecord>, now: MonoTime) -> Self {
         let silent = peers.values().filter(|record| record.is_silent(now)).count();
-        if silent * 2 > peers.len() { Self::OfMost } else { Self::OfFew }
+        if silent * 2 > peers.len() { Self::Majority } else { Self::Minority }
     }
 }
 
@@ -75,7 +77,7 @@
 
 /// What another gateway told of an item's body.
 #[derive(Debug)]
-pub struct ToldBody {
+pub struct ItemBodyReply {
     /// Whether it can tell.
     pub is_known: bool,
     /// The body; `None` when the job has no such item.
@@ -148,7 +150,7 @@
     /// Questions about jobs.
     pub job_calls: CallTable<JobNews>,
     /// Questions for items' bodies.
-    pub body_calls: CallTable<ToldBody>,
+    pub body_calls: CallTable<ItemBodyReply>,
     /// Calls to the store that another gateway makes.
     pub store_calls: CallTable<StoreCallEnd>,
     /// Questions for places at other gateways' targets.
@@ -405,21 +407,23 @@
     /// Whether the entries of gateways were read so recently that one that is missing here can't have taken
     /// this one for dead yet. It may know this one's entry and get no link, when this one, which the
     /// store turns away, is to dial.
-    pub fn knows_all(&self, now: MonoTime) -> bool {
+    pub fn has_fresh_entries(&self, now: MonoTime) -> bool {
         self.entries.is_fresh(now, ENTRIES_FRESH)
     }
 
     /// Whether every known gateway was heard a moment ago. While one isn't, it may have taken jobs of ours
     /// over. A link that still looks up says nothing: a process that stood still hasn't read yet that the
     /// others closed it.
-    pub fn hears_all(&self, now: MonoTime) -> bool {
+    pub fn hears_all_peers(&self, now: MonoTime) -> bool {
         !self.peers().values().any(|record| record.is_silent(now))
     }
 
     /// Whether every job is known that a client may send again: each gateway has been heard for `span`, which is
     /// longer than a client tries, or all jobs in the store were read since one wasn't.
-    pub fn knows_each_job(&self, span: Duration, now: MonoTime) -> bool {
-        self.knows_all(now) && self.hears_all(now) && self.job_news().is_whole(span, now)
+    pub fn knows_all_recent_jobs(&self, span: Duration, now: MonoTime) -> bool {
+        self.has_fresh_entries(now)
+            && self.hears_all_peers(now)
+            && self.job_news().is_whole(span, now)
     }
 
     /// All jobs in the store were read, asked for at `asked`.
--- a/crates/entry/src/store/call_cause.rs
+++ b/crates/entry/src/store/call_cause.rs
@@ -7,7 +7,7 @@
         limits::SHARE_KIND,
         records::{END_KIND, JOB_KIND, PART_KIND, RESULT_KIND},
     },
-    peers::record::GATEWAY_KIND,
+    peers::registration::GATEWAY_KIND,
 };
 
 /// Why a call to the store is made.
--- a/crates/entry/src/store/client.rs
+++ b/crates/entry/src/store/client.rs
@@ -241,7 +241,7 @@
         loop {
             let idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner).pop();
             match idle {
-                Some(connection) if !connection.is_spoiled() => return Ok(connection),
+                Some(connection) if !connection.is_unusable() => return Ok(connection),
                 Some(_) => {}
                 None => break,
             }
--- a/crates/entry/src/target/pool.rs
+++ b/crates/entry/src/target/pool.rs
@@ -92,7 +92,7 @@
         while let Some(connection) = list.pop() {
             let age = connection.since.elapsed();
             let too_old = age >= connection.lifetime || (strict && age >= NON_REPEATABLE_MAX_IDLE);
-            if !too_old && !connection.reader.is_spoiled() {
+            if !too_old && !connection.reader.is_unusable() {
                 return Some(connection.reader);
             }
         }
--- a/crates/h1/src/reader.rs
+++ b/crates/h1/src/reader.rs
@@ -64,7 +64,7 @@
     }
 
     /// Whether an idle connection was closed or sent bytes that nobody asked for. Doesn't wait.
-    pub fn is_spoiled(&self) -> bool {
+    pub fn is_unusable(&self) -> bool {
         if self.has_rest() {
             return true;
         }
--- a/crates/h1/tests/messages.rs
+++ b/crates/h1/tests/messages.rs
@@ -113,9 +113,9 @@
         let mut sender = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
         let (receiver, _) = listener.accept().await.unwrap();
         let reader = WireReader::new(receiver.clone());
-        assert!(!reader.is_spoiled());
+        assert!(!reader.is_unusable());
         sender.write_all(b"HTTP/1.1 200 OK\r\n").await.unwrap();
         receiver.peek(&mut [0; 1]).await.unwrap();
-        assert!(reader.is_spoiled());
+        assert!(reader.is_unusable());
     });
 }
