--- a/crates/entry/src/batch/bodies.rs
+++ b/crates/entry/src/batch/bodies.rs
@@ -15,10 +15,10 @@
         read_latency::{ReadKind, ReadSource},
         reads::{ReadAnswer, learn_job, note_read, unsure},
     },
-    constants::BODY_ASK,
+    constants::BODY_PEER_TIMEOUT,
     front::answer::OwnAnswer,
     node::EntryNode,
-    peers::{calls::CallEnd, table::ToldBody},
+    peers::{calls::CallEnd, table::ItemBodyReply},
 };
 
 /// Bytes of a body in an answer to another gateway, at most: well under a link's largest message.
@@ -86,7 +86,7 @@
     let (job, item, account) = (job.to_owned(), item.to_owned(), account.to_owned());
     let question = |call| PeerMessage::BodyAsk { call, job, item, account };
     let send = |call| node.peers.send_to_owner(&owner, question(call));
-    match node.peers.body_calls.ask(send, BODY_ASK).await {
+    match node.peers.body_calls.ask(send, BODY_PEER_TIMEOUT).await {
         CallEnd::Answered(told) if told.is_known => Some(told.body),
         CallEnd::Answered(_) | CallEnd::NotSent | CallEnd::Unanswered => None,
     }
@@ -116,7 +116,7 @@
 
 /// Takes another gateway's answer.
 pub fn receive_body(node: &EntryNode, call: u64, is_known: bool, body: Option<Payload>) {
-    node.peers.body_calls.answer(call, ToldBody { is_known, body });
+    node.peers.body_calls.answer(call, ItemBodyReply { is_known, body });
 }
 
 fn body_of<'a>(spec: &'a JobSpec, item: &str) -> Option<&'a [u8]> {
--- a/crates/entry/src/batch/limits.rs
+++ b/crates/entry/src/batch/limits.rs
@@ -21,7 +21,7 @@
         job_registry::JobRegistry,
         share_reclaim::{ReclaimedShares, reclaim_in_turn},
     },
-    constants::{LIMIT_CALL, LIMIT_PATIENCE, LIMIT_ROUNDS, ROOM_TICK},
+    constants::{LIMIT_DECISION_TIMEOUT, LIMIT_SHARE_ATTEMPTS, LIMIT_STORE_TIMEOUT, ROOM_TICK},
     node::EntryNode,
     store::{
         call_cause::StoreCallCause,
@@ -58,7 +58,7 @@
         return LimitOutcome::Reserved;
     }
     let reserving = decide(node, limit, job, tokens);
-    let outcome = timeout(LIMIT_PATIENCE, reserving).await.unwrap_or(LimitOutcome::Unknown);
+    let outcome = timeout(LIMIT_DECISION_TIMEOUT, reserving).await.unwrap_or(LimitOutcome::Unknown);
     node.limits.used.notify(usize::MAX);
     if outcome != LimitOutcome::Reserved {
         let used = node.jobs().limit_tokens(&limit.name);
@@ -84,7 +84,7 @@
 async fn decide(node: &EntryNode, limit: &WaitingLimit, job: &str, tokens: u64) -> LimitOutcome {
     let arrived = node.clock.mono();
     let mut asked: Option<ReclaimedShares> = None;
-    for _ in 0..LIMIT_ROUNDS {
+    for _ in 0..LIMIT_SHARE_ATTEMPTS {
         match take_held(node, limit, job, tokens) {
             ShareAvailability::Held => return LimitOutcome::Reserved,
             ShareAvailability::Free => match write_in_turn(node, limit, job, tokens).await {
@@ -126,7 +126,7 @@
 
 /// Counts the job if it's within what is held here; whether it is, and what is missing.
 fn take_held(node: &EntryNode, limit: &WaitingLimit, job: &str, tokens: u64) -> ShareAvailability {
-    let is_in_touch = node.peers.hears_all(node.clock.mono());
+    let is_in_touch = node.peers.hears_all_peers(node.clock.mono());
     with_holder(node, &limit.name, |holder, registry| {
         let used = registry.limit_tokens(&limit.name);
         let room = holder.availability(used, tokens, limit.tokens, is_in_touch);
@@ -166,7 +166,7 @@
 /// The next step, which is counted already if it's granted.
 fn next_step(node: &EntryNode, limit: &WaitingLimit, job: &str, tokens: u64) -> ShareStep {
     let gateways = node.peers.known_count() as u64 + 1;
-    let is_in_touch = node.peers.hears_all(node.clock.mono());
+    let is_in_touch = node.peers.hears_all_peers(node.clock.mono());
     with_holder(node, &limit.name, |holder, registry| {
         let used = registry.limit_tokens(&limit.name);
         let step = holder.step(used, tokens, limit.tokens, gateways, is_in_touch);
@@ -203,7 +203,7 @@
     propose: impl Fn(&mut ShareHolder, &JobRegistry) -> ShareProposal,
 ) -> Result<(), StoreFailure> {
     let _turn = begin_turn(node, route).await;
-    for _ in 0..LIMIT_ROUNDS {
+    for _ in 0..LIMIT_SHARE_ATTEMPTS {
         let proposal = with_holder(node, route, |holder, registry| propose(holder, registry));
         match write(node, route, proposal, |_| {}).await {
             ShareWrite::Done => return Ok(()),
@@ -221,7 +221,7 @@
         // News, or the end of the pause: both lead to another look.
         let _ = timeout(ROOM_TICK, listener).await;
         let now = node.clock.mono();
-        let is_able = node.store.outage().is_up() && node.peers.hears_all(now);
+        let is_able = node.store.outage().is_up() && node.peers.hears_all_peers(now);
         if !is_able || node.stop.is_stopping() {
             continue;
         }
@@ -338,7 +338,7 @@
         None => ("POST", list_path(SHARE_KIND, None)),
         Some(_) => ("PUT", object_path(SHARE_KIND, &name)),
     };
-    let wait = node.store.settings().call_timeout.min(LIMIT_CALL);
+    let wait = node.store.settings().call_timeout.min(LIMIT_STORE_TIMEOUT);
     let sent = node.store.call(StoreCallCause::LimitShares, method, &path, Some(&body), wait).await;
     if let Ok(reply) = &sent
         && reply.is_success()
@@ -366,7 +366,7 @@
 /// The store doesn't tell them.
 pub(crate) async fn refresh(node: &EntryNode, route: &str) -> Result<(), StoreFailure> {
     let path = object_path(SHARE_KIND, &object_name(route));
-    let wait = node.store.settings().call_timeout.min(LIMIT_CALL);
+    let wait = node.store.settings().call_timeout.min(LIMIT_STORE_TIMEOUT);
     let reply = node.store.call(StoreCallCause::LimitShares, "GET", &path, None, wait).await?;
     if adopt_reply(node, route, &reply) { Ok(()) } else { Err(StoreFailure::Unknown) }
 }
--- a/crates/entry/src/batch/ownership.rs
+++ b/crates/entry/src/batch/ownership.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     batch::{closing::close_completed_job, limits, records::read_job},
-    constants::{STORE_DOUBT, VERIFY_DELAY},
+    constants::{VERIFY_DELAY, WRITE_CONFIRM_TIMEOUT},
     node::EntryNode,
     peers::table::PeerSilence,
     store::{call_cause::StoreCallCause, reply::StoreFailure, retry::until_answered},
@@ -26,7 +26,8 @@
         return false;
     }
     let registry = node.jobs();
-    let is_sure = |job: &OwnedJob| job.is_confirmed() && !job.is_storing_since(now - STORE_DOUBT);
+    let is_sure =
+        |job: &OwnedJob| job.is_confirmed() && !job.is_storing_since(now - WRITE_CONFIRM_TIMEOUT);
     registry.table.get(job).is_some_and(is_sure)
 }
 
@@ -39,7 +40,7 @@
     registry.table.invalidate_all_ownership();
     let jobs = registry.open_owned().len();
     drop(registry);
-    if silence == PeerSilence::OfMost {
+    if silence == PeerSilence::Majority {
         let node = Arc::clone(node);
         task::spawn(async move { verify_all(&node).await });
     }
@@ -79,7 +80,7 @@
 
 /// Whether no other gateway can have taken a job over that this one was confirmed to own.
 fn is_in_touch(node: &EntryNode, now: MonoTime) -> bool {
-    node.peers.knows_all(now) && node.peers.hears_all(now)
+    node.peers.has_fresh_entries(now) && node.peers.hears_all_peers(now)
 }
 
 /// Checks every job that we run, once for all calls that come together.
@@ -147,5 +148,5 @@
     if let Some(limit) = limit {
         limits::cede(node, &limit);
     }
-    node.job_news.notify(usize::MAX);
+    node.job_updates.notify(usize::MAX);
 }
--- a/crates/entry/src/batch/prior_submission.rs
+++ b/crates/entry/src/batch/prior_submission.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     batch::records::read_job,
-    constants::{REFUSAL_LOOK, RESEND_SPAN},
+    constants::{CLIENT_RESEND_WINDOW, REFUSAL_LOOKUP_TIMEOUT},
     node::EntryNode,
     store::{call_cause::StoreCallCause, reply::StoreFailure},
 };
@@ -67,10 +67,11 @@
         (registry.lookups.take(gateways, now), registry.may_be_stored_elsewhere(job))
     };
     if !may_look {
-        let is_known = !is_storing && node.peers.knows_each_job(RESEND_SPAN, now);
+        let is_known = !is_storing && node.peers.knows_all_recent_jobs(CLIENT_RESEND_WINDOW, now);
         return if is_known { PriorJob::None } else { PriorJob::Unclear };
     }
-    let looking = timeout(REFUSAL_LOOK, read_job(&node.store, job, StoreCallCause::JobStored));
+    let looking =
+        timeout(REFUSAL_LOOKUP_TIMEOUT, read_job(&node.store, job, StoreCallCause::JobStored));
     match looking.await.unwrap_or(Err(StoreFailure::Unknown)) {
         Ok(Some(_)) => PriorJob::Accepted,
         Ok(None) if is_storing => PriorJob::Unclear,
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -22,7 +22,7 @@
         job_registry::JobRegistry, limit_registry::LimitRegistry, read_latency::ReadLatencies,
     },
     clock::NodeClock,
-    constants::WATCHERS,
+    constants::STORE_WATCHERS,
     peers::{
         catch_up::KnownVersions,
         table::{OwnerLiveness, PeerTable},
@@ -72,7 +72,7 @@
     /// Whether the process is stopping.
     pub stop: StopState,
     /// Told when results were stored or a job ended.
-    pub job_news: Event,
+    pub job_updates: Event,
     /// Told when a job is being taken in.
     pub jobs_taken: Event,
     /// Told when items may have become ready to run.
@@ -123,7 +123,7 @@
             pool: TargetPool::default(),
             peers: PeerTable::new(traffic),
             stop: StopState::default(),
-            job_news: Event::new(),
+            job_updates: Event::new(),
             jobs_taken: Event::new(),
             runner_wake: Event::new(),
             state_changed: Event::new(),
@@ -359,7 +359,7 @@
 
     /// Whether this gateway has to follow the store itself: too few before it do.
     pub fn must_watch(&self) -> bool {
-        self.peers.watchers_before(&self.config.node.vm) < WATCHERS
+        self.peers.watchers_before(&self.config.node.vm) < STORE_WATCHERS
     }
 
     /// Whether the gateway that `owner` names is there; an earlier incarnation of this one isn't.
