--- a/crates/relay/src/accounts.rs
+++ b/crates/relay/src/accounts.rs
@@ -1,4 +1,4 @@
-//! Client accounts: who asks, until when a key is honoured, and how much an account may send.
+//! Client accounts: identification of callers, freshness of the configuration, and rate limits.
 
 pub mod account;
 pub mod bucket;
--- a/crates/relay/src/accounts/account.rs
+++ b/crates/relay/src/accounts/account.rs
@@ -1,34 +1,35 @@
-//! One client account.
+//! Client accounts as configured.
 
 use notch_types::prelude::AccountName;
 
 use crate::accounts::key::AccountKey;
 
-/// How many online requests an account may send, at all gateways together.
+/// Rate limit of an account's online requests over all gateways.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AccountLimit {
-    /// Requests a second in the long run. Above 0.
+    /// Sustained requests per second. Above 0.
     pub per_second: f64,
-    /// Requests beyond that at once. At least 1.
+    /// Burst size in requests. At least 1.
     pub burst: f64,
 }
 
 /// One client account.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClientAccount {
-    /// Its name, unique in a configuration.
+    /// Name of the account, unique in a configuration.
     pub name: AccountName,
-    /// Rank of its requests, 0 the highest; goes before that of the route.
+    /// Priority of the account's requests, 0 being the highest. It takes precedence over the
+    /// priority of the route.
     pub priority: u32,
-    /// `None` for no limit.
+    /// Rate limit; `None` if unlimited.
     pub limit: Option<AccountLimit>,
 }
 
-/// A client account with its keys, as the configuration names it.
+/// A client account with its keys, as configured.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AccountEntry {
     /// The account.
     pub account: ClientAccount,
-    /// Its keys. None means that nobody can use it now.
+    /// Keys of the account. If empty, the account is currently unusable.
     pub keys: Vec<AccountKey>,
 }
--- a/crates/relay/src/accounts/credits.rs
+++ b/crates/relay/src/accounts/credits.rs
@@ -1,8 +1,9 @@
-//! What one gateway may still admit of each account.
+//! Credit that one gateway holds for each account.
 //!
-//! The load that it answers: 83 accounts, a few of them large, at 24 gateways, one of which sends 7.5 times its
-//! usual. Requests of a large account come every few milliseconds at each gateway, so credit is asked for a
-//! little ahead; one that is used up isn't asked for again by each request.
+//! It is designed for 83 accounts, a few of them large, at 24 gateways, one account sending 7.5
+//! times its usual rate. Requests of a large account arrive every few milliseconds at each gateway,
+//! so credit is requested slightly ahead of need. While a limit is used up, not every request asks
+//! for credit again.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -10,66 +11,66 @@
 
 use crate::accounts::{account::AccountLimit, quota::QuotaTolerance};
 
-/// Credit that isn't used for so long lapses. What lapses was granted for nothing, and what is used late may
-/// fall into the next window.
+/// Time after which unused credit expires. Expired credit was granted in vain, and credit used late
+/// may fall into the next window.
 pub const CREDIT_LIFETIME: Duration = Duration::from_millis(250);
-/// A used-up limit is asked for again after so long at the latest.
-const USED_UP_LONGEST: Duration = Duration::from_millis(50);
-/// A limiter that didn't answer isn't asked again for so long.
-const SILENT_PAUSE: Duration = Duration::from_millis(250);
-/// How long an account that sends nothing is remembered.
-const IDLE_KEPT: Duration = Duration::from_secs(10);
-
-/// How a request of an account goes on.
+/// Maximum time until a used-up limit is asked for again.
+const MAX_USED_UP_TIME: Duration = Duration::from_millis(50);
+/// Time for which a limiter that did not answer is not asked again.
+const SILENT_BACKOFF: Duration = Duration::from_millis(250);
+/// Time for which an account without requests is remembered.
+const IDLE_RETENTION: Duration = Duration::from_secs(10);
+
+/// Admission decision for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CreditStep {
-    /// It is admitted.
+    /// The request is admitted.
     Admitted,
-    /// The limit was found used up a moment ago.
+    /// The limit was recently found to be used up.
     UsedUp {
-        /// When to come back.
+        /// Delay after which the client should retry.
         wait: Duration,
     },
-    /// The account's limiter has to be asked for so many requests.
+    /// The account's limiter has to be asked for credit.
     Ask {
-        /// At least 1.
+        /// Number of requests to ask for, at least 1.
         wanted: u32,
     },
-    /// The limiter didn't answer a moment ago.
+    /// The limiter recently failed to answer.
     NoLimiter,
 }
 
-/// What one gateway knows of one account's limit.
+/// State of one account's limit at this gateway.
 #[derive(Debug, Default)]
 struct AccountCredit {
     credit: u32,
-    /// When `credit` lapses.
-    lapses_at: MonoTime,
-    /// No credit is to be had before then.
+    /// When `credit` expires.
+    expires_at: MonoTime,
+    /// Until when the limit is considered used up.
     used_up_until: MonoTime,
-    /// What the last rejected client was told.
+    /// Retry delay told to the last rejected client.
     wait: Duration,
-    /// The limiter isn't asked before then.
+    /// Until when the limiter is not asked.
     silent_until: MonoTime,
-    /// Requests that came within the last [`CREDIT_LIFETIME`].
+    /// Arrival times of requests within the last [`CREDIT_LIFETIME`].
     recent: VecDeque<MonoTime>,
-    /// Requests admitted without a limiter. Invariant: in order.
+    /// Times of requests admitted without a limiter. Invariant: in ascending order.
     without_limiter: VecDeque<MonoTime>,
 }
 
-/// What one gateway may still admit of each account.
+/// Credit that one gateway holds for each account.
 #[derive(Debug, Default)]
 pub struct CreditCache {
     accounts: FastMap<AccountName, AccountCredit>,
 }
 
 impl CreditCache {
-    /// A request of an account came.
+    /// Decides how to proceed with a new request of an account.
     pub fn begin(&mut self, account: &AccountName, now: MonoTime) -> CreditStep {
         let known = self.entry(account);
         drop_older(&mut known.recent, CREDIT_LIFETIME, now);
         known.recent.push_back(now);
-        if known.credit > 0 && now < known.lapses_at {
+        if known.credit > 0 && now < known.expires_at {
             known.credit -= 1;
             return CreditStep::Admitted;
         }
@@ -82,39 +83,42 @@
         CreditStep::Ask { wanted: known.recent.len() as u32 }
     }
 
-    /// The limiter granted so many requests, the first of which is the one that asked at `asked`.
+    /// Records that the limiter granted `granted` requests, the first of which is the one that
+    /// asked at `asked`.
     pub fn note_granted(&mut self, account: &AccountName, granted: u32, asked: MonoTime) {
         let known = self.entry(account);
-        let lapses_at = asked + CREDIT_LIFETIME;
-        let held = if asked < known.lapses_at { known.credit } else { 0 };
-        // What lapses sooner lapses with the new credit's time cut short, not prolonged.
-        known.lapses_at = if held == 0 { lapses_at } else { known.lapses_at.min(lapses_at) };
+        let expires_at = asked + CREDIT_LIFETIME;
+        let held = if asked < known.expires_at { known.credit } else { 0 };
+        // All credit shares one expiry time, so the newer credit expires early rather than the
+        // older one late.
+        known.expires_at = if held == 0 { expires_at } else { known.expires_at.min(expires_at) };
         known.credit = held + granted.saturating_sub(1);
     }
 
-    /// The limiter has no credit before `wait` is over.
+    /// Records that the limiter has no credit before `wait` is over.
     pub fn note_used_up(&mut self, account: &AccountName, wait: Duration, now: MonoTime) {
         let known = self.entry(account);
-        known.used_up_until = now + wait.min(USED_UP_LONGEST);
+        known.used_up_until = now + wait.min(MAX_USED_UP_TIME);
         known.wait = wait;
     }
 
-    /// The limiter didn't answer.
+    /// Records that the limiter did not answer.
     pub fn note_silent(&mut self, account: &AccountName, now: MonoTime) {
-        self.entry(account).silent_until = now + SILENT_PAUSE;
+        self.entry(account).silent_until = now + SILENT_BACKOFF;
     }
 
-    /// A request that was admitted didn't run: its credit may be used by another one.
+    /// Returns the credit of an admitted request that did not run, so that another one can use it.
     pub fn give_back(&mut self, account: &AccountName, now: MonoTime) {
         let known = self.entry(account);
-        if known.credit == 0 || now >= known.lapses_at {
+        if known.credit == 0 || now >= known.expires_at {
             known.credit = 0;
-            known.lapses_at = now + CREDIT_LIFETIME;
+            known.expires_at = now + CREDIT_LIFETIME;
         }
         known.credit += 1;
     }
 
-    /// Whether a request may be admitted though no limiter can be asked; counted if so.
+    /// Whether a request may be admitted although no limiter can be asked. An admitted request is
+    /// counted.
     pub fn admit_without_limiter(
         &mut self,
         account: &AccountName,
@@ -133,9 +137,9 @@
         may_admit
     }
 
-    /// Forgets accounts that sent nothing for long.
+    /// Forgets accounts that have been idle for a while.
     pub fn forget_idle(&mut self, now: MonoTime) {
-        let is_idle = |at: Option<&MonoTime>| at.is_none_or(|at| now.since(*at) >= IDLE_KEPT);
+        let is_idle = |at: Option<&MonoTime>| at.is_none_or(|at| now.since(*at) >= IDLE_RETENTION);
         self.accounts.retain(|_, known| {
             !is_idle(known.recent.back()) || !is_idle(known.without_limiter.back())
         });
@@ -146,7 +150,7 @@
     }
 }
 
-/// Credit that gateways may hold together of an account's limit, as it hasn't lapsed.
+/// Maximum unexpired credit that all gateways together may hold of an account's limit.
 pub fn held_credit(limit: AccountLimit) -> f64 {
     limit.per_second * CREDIT_LIFETIME.as_secs_f64()
 }
--- a/crates/relay/src/accounts/freshness.rs
+++ b/crates/relay/src/accounts/freshness.rs
@@ -1,52 +1,54 @@
-//! How old the knowledge of the configuration is.
+//! Age of the known configuration.
 //!
-//! The load that it answers: keys are taken away while a part of the gateways can't reach the store. Such a
-//! gateway can't know which keys still hold, so it lets nobody in once its knowledge is too old.
+//! It is designed for keys being revoked while part of the gateways cannot reach the store. Such a
+//! gateway cannot know which keys are still valid, so it rejects all requests that need a key once
+//! its configuration is too old.
 
 use std::time::Duration;
 
 use notch_types::prelude::*;
 
-/// Evidence that no configuration newer than `version` was acknowledged before `as_of`.
+/// Proof that no configuration newer than `version` was acknowledged before `as_of`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConfigurationProof {
-    /// The newest version at that moment.
+    /// Newest version at that time.
     pub version: u64,
-    /// Invariant: before the question was sent whose answer told the version. By a clock that counts
-    /// suspended time.
+    /// Invariant: before the request was sent whose answer reported the version. Taken from a clock
+    /// that includes suspended time.
     pub as_of: MonoTime,
 }
 
 impl ConfigurationProof {
-    /// The proof in an answer that is `age` old, to a question sent at `asked`. `None` where it's older than this
-    /// process: no time of its clock is so early, and a later one would make the proof younger than it is.
+    /// Creates a proof from an answer that is `age` old to a request sent at `asked`. Returns
+    /// `None` if the proof is older than this process: its clock cannot represent such a time, and
+    /// a later time would make the proof look newer than it is.
     pub fn from_answer(version: u64, age: Duration, asked: MonoTime) -> Option<Self> {
         let has_time = age <= asked.since(MonoTime::default());
         has_time.then(|| Self { version, as_of: asked - age })
     }
 }
 
-/// How old the knowledge of the configuration is, and how old it may be.
+/// Age of the known configuration and its maximum.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ConfigurationAge {
-    /// The longest age at which requests with keys are let in; `None` for any.
+    /// Maximum age at which requests that need a key are admitted; `None` for no maximum.
     bound: Option<Duration>,
     proof: Option<ConfigurationProof>,
 }
 
 impl ConfigurationAge {
-    /// Nothing is known yet.
+    /// Creates the state before the first proof.
     pub fn new(bound: Option<Duration>) -> Self {
         Self { bound, proof: None }
     }
 
-    /// The longest age at which requests with keys are let in.
+    /// Maximum age at which requests that need a key are admitted.
     pub fn bound(&self) -> Option<Duration> {
         self.bound
     }
 
-    /// Takes a proof; whether it could be used. One of a version that isn't in force here yet proves
-    /// nothing of what is.
+    /// Records a proof. Returns whether it could be used: a proof of a version newer than the one
+    /// in force does not apply to the latter.
     pub fn note_proof(&mut self, proof: ConfigurationProof, in_force: u64) -> bool {
         if proof.version > in_force {
             return false;
@@ -57,17 +59,17 @@
         true
     }
 
-    /// The newest proof.
+    /// Newest proof.
     pub fn proof(&self) -> Option<ConfigurationProof> {
         self.proof
     }
 
-    /// Age of the knowledge at `now`; `None` before the first proof.
+    /// Age of the known configuration at `now`; `None` before the first proof.
     pub fn age(&self, now: MonoTime) -> Option<Duration> {
         self.proof.map(|proof| now.since(proof.as_of))
     }
 
-    /// Whether requests with keys may be let in that were sent before `now`.
+    /// Whether requests that need a key and were sent before `now` may be admitted.
     pub fn is_fresh(&self, now: MonoTime) -> bool {
         let Some(bound) = self.bound else { return true };
         self.age(now).is_some_and(|age| age < bound)
--- a/crates/relay/src/accounts/key.rs
+++ b/crates/relay/src/accounts/key.rs
@@ -1,4 +1,4 @@
-//! Digests of API keys: no key is kept, logged or passed on in clear.
+//! Digests of API keys. Keys themselves are never stored, logged or forwarded.
 
 use notch_types::prelude::stable_hash128;
 
@@ -7,17 +7,17 @@
 pub struct AccountKey(u128);
 
 impl AccountKey {
-    /// The digest of `key`.
+    /// Computes the digest of `key`.
     pub fn of(key: &str) -> Self {
         Self(stable_hash128(&[b"account key", key.as_bytes()]))
     }
 
-    /// Reads a digest written by [`to_hex`](Self::to_hex).
+    /// Parses a digest written by [`to_hex`](Self::to_hex).
     pub fn from_hex(text: &str) -> Option<Self> {
         u128::from_str_radix(text, 16).ok().map(Self)
     }
 
-    /// The digest as text.
+    /// Formats the digest as hexadecimal text.
     pub fn to_hex(self) -> String {
         format!("{:032x}", self.0)
     }
--- a/crates/relay/src/accounts/limiter.rs
+++ b/crates/relay/src/accounts/limiter.rs
@@ -1,4 +1,4 @@
-//! The rate limiters that one gateway runs for all.
+//! Rate limiters of accounts that one gateway runs on behalf of all gateways.
 
 use std::time::Duration;
 
@@ -10,62 +10,63 @@
     view::LimiterView,
 };
 
-/// What a gateway that is asked for credit answers.
+/// Answer of a gateway to a request for credit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CreditAnswer {
-    /// So many requests are admitted.
+    /// This number of requests is admitted.
     Granted(u32),
-    /// The limit is used up; a credit for this client is due after that long.
+    /// The limit is used up; the client should retry after this delay.
     UsedUp(Duration),
-    /// It isn't the account's limiter. Which gateway is, as far as it knows.
+    /// The gateway is not the account's limiter. Contains the limiter if known.
     Elsewhere(Option<VmName>),
 }
 
-/// Credit that a limiter has left when another gateway becomes the limiter.
+/// Remaining credit that is handed over when another gateway becomes the limiter.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CreditHandover {
     /// The new limiter.
     pub limiter: VmName,
-    /// Whose limit.
+    /// Account that the credit belongs to.
     pub account: AccountName,
     /// Requests that may be admitted.
     pub credit: f64,
 }
 
-/// How often it is looked which gateways there are.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+/// Interval at which the set of gateways is refreshed.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The rate limiters of accounts that one gateway runs for all.
+/// Rate limiters of accounts that one gateway runs on behalf of all gateways.
 #[derive(Debug, Default)]
 pub struct LimiterTable {
     buckets: FastMap<AccountName, CreditBucket>,
     tolerance: QuotaTolerance,
     view: LimiterView,
-    /// Since when the view is in force.
+    /// When the view came into force.
     since: MonoTime,
-    /// When the other gateways were looked at last.
-    looked_at: Option<MonoTime>,
-    /// Limiters by account in this view, as far as they were asked for.
+    /// When the set of gateways was last refreshed.
+    refreshed_at: Option<MonoTime>,
+    /// Cache of the limiters of accounts in the current view.
     limiters: FastMap<AccountName, Option<VmName>>,
 }
 
 impl LimiterTable {
-    /// A table without limiters.
+    /// Creates a table without limiters.
     pub fn new(tolerance: QuotaTolerance) -> Self {
         Self { tolerance, ..Self::default() }
     }
 
-    /// Whether it's time to look which gateways there are.
+    /// Whether the set of gateways is due for a refresh; if so, the refresh counts as begun.
     pub fn begin_view_refresh(&mut self, now: MonoTime) -> bool {
-        let is_due = self.looked_at.is_none_or(|at| now.since(at) >= LOOK_EVERY);
+        let is_due = self.refreshed_at.is_none_or(|at| now.since(at) >= REFRESH_INTERVAL);
         if is_due {
-            self.looked_at = Some(now);
+            self.refreshed_at = Some(now);
         }
         is_due
     }
 
-    /// Takes a new view; the credit that is left at limiters which other gateways run from now on. One that is run
-    /// here from now on begins with what the tolerance bears: until now others may have granted all of it.
+    /// Puts a new view in force. Returns the remaining credit of limiters that move to other
+    /// gateways. A limiter that moves here starts with the credit that the tolerance allows,
+    /// because other gateways may have granted everything else.
     pub fn set_view(
         &mut self,
         own: &VmName,
@@ -95,7 +96,7 @@
         handovers
     }
 
-    /// Takes credit that an account's former limiter had left, if this gateway is the limiter now.
+    /// Adds the remaining credit of an account's former limiter if this gateway is the limiter now.
     pub fn take_over(
         &mut self,
         own: &VmName,
@@ -112,11 +113,11 @@
     fn bucket(&mut self, account: &AccountName, limit: AccountLimit) -> &mut CreditBucket {
         let since = self.since;
         let bucket = self.buckets.entry(account.clone());
-        let begin = self.tolerance.begin_credit(limit, held_credit(limit));
+        let begin = self.tolerance.initial_credit(limit, held_credit(limit));
         bucket.or_insert_with(|| CreditBucket::new(limit, begin, since))
     }
 
-    /// Whether there are limiters at all as far as is known here.
+    /// Whether enough gateways are heard from for limiters to exist.
     pub fn has_quorum(&self) -> bool {
         self.view.has_quorum()
     }
@@ -131,7 +132,7 @@
         limiter
     }
 
-    /// Grants credit of a limiter that is run here.
+    /// Grants credit of a limiter that this gateway runs.
     pub fn grant(
         &mut self,
         account: &AccountName,
--- a/crates/relay/src/accounts/quota.rs
+++ b/crates/relay/src/accounts/quota.rs
@@ -1,22 +1,22 @@
-//! By how much limits may be exceeded.
+//! Tolerance by which limits may be exceeded.
 
 use std::time::Duration;
 
 use crate::accounts::account::AccountLimit;
 
-/// What of the tolerance is used where no limiter can be asked.
-const WITHOUT_LIMITER_PART: f64 = 0.4;
-/// What of it each new limiter of a limit begins with.
-const BEGIN_PART: f64 = 0.25;
+/// Fraction of the tolerance available when no limiter can be asked.
+const WITHOUT_LIMITER_FRACTION: f64 = 0.4;
+/// Fraction of the tolerance that a new limiter starts with.
+const INITIAL_FRACTION: f64 = 0.25;
 
-/// By how much limits may be exceeded in a sliding window.
+/// Tolerance by which limits may be exceeded in a sliding window.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QuotaTolerance {
-    /// The window.
+    /// Length of the window.
     pub window: Duration,
-    /// Share of what the limit allows in a window.
+    /// Fraction of the requests allowed in a window by which the limit may be exceeded.
     pub overrun: f64,
-    /// Requests beside that.
+    /// Number of requests by which the limit may be exceeded in addition to that.
     pub slack: f64,
 }
 
@@ -27,19 +27,19 @@
 }
 
 impl QuotaTolerance {
-    /// Requests that each of `gateways` gateways may admit in a window where no limiter can be asked, beside
-    /// `held` requests of credit that may be left anywhere from the window before.
+    /// Requests that each of `gateways` gateways may admit in a window when no limiter can be
+    /// asked. `held` is the credit that gateways may still hold from the window before.
     pub fn requests_without_limiter(&self, limit: AccountLimit, held: f64, gateways: usize) -> u32 {
-        (self.spare(limit, held) * WITHOUT_LIMITER_PART / gateways.max(1) as f64) as u32
+        (self.spare(limit, held) * WITHOUT_LIMITER_FRACTION / gateways.max(1) as f64) as u32
     }
 
-    /// Requests that a gateway may admit at once when it becomes the limiter of a limit: those before it may have
-    /// granted all, so it's the tolerance that bears them.
-    pub fn begin_credit(&self, limit: AccountLimit, held: f64) -> f64 {
-        (self.spare(limit, held) * BEGIN_PART).min(limit.burst)
+    /// Credit that a new limiter starts with. The former limiter may have granted everything, so
+    /// this credit is covered by the tolerance.
+    pub fn initial_credit(&self, limit: AccountLimit, held: f64) -> f64 {
+        (self.spare(limit, held) * INITIAL_FRACTION).min(limit.burst)
     }
 
-    /// What the tolerance leaves beside `held`.
+    /// Requests that the tolerance leaves in addition to `held`.
     fn spare(&self, limit: AccountLimit, held: f64) -> f64 {
         let allowed = limit.per_second * self.window.as_secs_f64() + limit.burst;
         (allowed * self.overrun + self.slack - held).max(0.0)
--- a/crates/relay/src/accounts/table.rs
+++ b/crates/relay/src/accounts/table.rs
@@ -1,4 +1,4 @@
-//! Finds the account of a request by its key.
+//! Look-up of accounts by key.
 
 use std::sync::Arc;
 
@@ -9,19 +9,19 @@
     key::AccountKey,
 };
 
-/// Who sends a request.
+/// Sender of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CallerIdentity {
-    /// Nobody in particular: there are no accounts, or the route is open to all.
+    /// No particular account: no accounts are configured, or the route is public.
     Anyone,
-    /// This account.
+    /// An account.
     Account(Arc<ClientAccount>),
-    /// Somebody without a key of any account, where one is needed.
+    /// A key is required, but none of a known account was given.
     Unknown,
 }
 
 impl CallerIdentity {
-    /// The account's name; empty for nobody in particular.
+    /// Name of the account; empty if there is none.
     pub fn account_name(&self) -> &str {
         match self {
             Self::Account(account) => account.name.as_str(),
@@ -30,7 +30,7 @@
     }
 }
 
-/// The accounts of one configuration.
+/// Accounts of one configuration.
 #[derive(Debug, Default)]
 pub struct AccountTable {
     by_key: FastMap<AccountKey, Arc<ClientAccount>>,
@@ -38,7 +38,7 @@
 }
 
 impl AccountTable {
-    /// Orders accounts for look-ups.
+    /// Indexes accounts by key and name.
     pub fn new(entries: Vec<AccountEntry>) -> Self {
         let mut table = Self::default();
         for AccountEntry { account, keys } in entries {
@@ -56,13 +56,14 @@
         self.by_key.get(&key)
     }
 
-    /// The account of that name.
+    /// The account with a name.
     pub fn named(&self, name: &AccountName) -> Option<&Arc<ClientAccount>> {
         self.by_name.get(name)
     }
 }
 
-/// Whether a caller may see or end a job of the account `owner`. Jobs of no account are open to all.
+/// Whether a caller may read or end a job of account `owner`. Jobs without an account are
+/// accessible to all callers.
 pub fn may_access(owner: &str, caller: &str) -> bool {
     owner.is_empty() || owner == caller
 }
--- a/crates/relay/src/accounts/view.rs
+++ b/crates/relay/src/accounts/view.rs
@@ -1,43 +1,45 @@
-//! Which gateway runs the rate limiter of which account.
+//! Assignment of accounts to the gateways that run their rate limiters.
 //!
-//! The load that it answers: an account sends many times its limit while gateways are cut off, killed or
-//! started. Two gateways that both ran its limiter would admit twice the limit.
+//! It is designed for an account that sends many times its limit while gateways are partitioned,
+//! killed or started. If two gateways both ran its limiter, they would admit twice the limit.
 
 use notch_types::prelude::*;
 
-/// Of the known gateways, the least part that must be heard before a limiter is run here. Two gateways that
-/// were cut apart can't both hear that many, unless the fleet is cut into halves whose connections are reset.
-const LEAST_HEARD: f64 = 0.375;
+/// Minimum fraction of the known gateways that must be heard from before a limiter is run here. Two
+/// groups of gateways that are partitioned from each other cannot both reach it, unless the fleet
+/// is split into halves and the connections between them are reset.
+const MIN_HEARD_FRACTION: f64 = 0.375;
 
-/// What a gateway hears of the others.
+/// Numbers of other gateways by their state.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PeerCounts {
-    /// Other gateways that are known.
+    /// Known gateways.
     pub known: usize,
-    /// Those heard now.
+    /// Gateways that are currently heard from.
     pub heard: usize,
-    /// Those whose process ended, by the end of its connection.
+    /// Gateways whose connection ended, which is taken as the end of their process.
     pub ended: usize,
 }
 
 impl PeerCounts {
-    /// Whether so many are heard that no other group of gateways can run limiters at the same time.
+    /// Whether enough gateways are heard from that no other group of gateways can run limiters at
+    /// the same time.
     pub fn has_quorum(self) -> bool {
         let (heard, known) = (self.heard + 1, self.known + 1);
         let voting = known - self.ended.min(self.known);
-        heard * 2 > voting && heard as f64 >= known as f64 * LEAST_HEARD
+        heard * 2 > voting && heard as f64 >= known as f64 * MIN_HEARD_FRACTION
     }
 }
 
-/// The gateways among which limiters are divided, as one of them sees it.
+/// Gateways among which limiters are divided, as seen by one of them.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct LimiterView {
-    /// Invariant: sorted. Empty while this gateway hears too few others.
+    /// Invariant: sorted. Empty while too few other gateways are heard from.
     candidates: Vec<VmName>,
 }
 
 impl LimiterView {
-    /// The view of a gateway that takes part with `candidates`, itself among them.
+    /// Creates the view of a gateway that takes part together with `candidates`, which include it.
     pub fn new(census: PeerCounts, mut candidates: Vec<VmName>) -> Self {
         if !census.has_quorum() {
             return Self::default();
@@ -46,13 +48,13 @@
         Self { candidates }
     }
 
-    /// Whether there are limiters at all as far as is known here.
+    /// Whether enough gateways are heard from for limiters to exist.
     pub fn has_quorum(&self) -> bool {
         !self.candidates.is_empty()
     }
 
-    /// The gateway that runs an account's limiter, by rendezvous hashing: when one comes or goes, few
-    /// accounts change their limiter.
+    /// The gateway that runs an account's limiter. Rendezvous hashing keeps most assignments when a
+    /// gateway joins or leaves.
     pub fn limiter(&self, account: &AccountName) -> Option<&VmName> {
         let weight =
             |vm: &&VmName| stable_hash64(&[account.as_str().as_bytes(), vm.as_str().as_bytes()]);
--- a/crates/relay/src/limits.rs
+++ b/crates/relay/src/limits.rs
@@ -1,4 +1,5 @@
-//! Limits that all gateways keep together: what each may use without asking, and when all is lent.
+//! Limits that all gateways enforce together: the shares that gateways may use without asking, and
+//! counts when the limit is fully allocated.
 
 pub mod count;
 pub mod drain;
--- a/crates/relay/src/limits/holder.rs
+++ b/crates/relay/src/limits/holder.rs
@@ -1,8 +1,9 @@
-//! One gateway's part in a limit that all keep together.
+//! One gateway's share of a limit that all gateways enforce together.
 //!
-//! The load that it answers: many jobs at once at all gateways, against a limit that a few of them
-//! fill. Counted by each gateway alone the limit would be exceeded by as many times as there are
-//! gateways; split into fixed parts it would refuse jobs that fit.
+//! It is designed for many jobs arriving at all gateways at once, against a limit that a few of
+//! them fill. If each gateway counted only its own jobs, the limit could be exceeded by a factor of
+//! the number of gateways; if the limit were split into fixed parts, jobs that fit would be
+//! refused.
 
 use std::time::Duration;
 
@@ -10,91 +11,95 @@
 
 use crate::limits::table::ShareTable;
 
-/// Divisor of what is free of a limit, beside the number of holders: what a holder takes beyond its
-/// need, so that the next jobs need no write. All together then hold at most half of what is free.
+/// Divisor, next to the number of holders, for the part of the free capacity that a holder reserves
+/// beyond its need, so that the next jobs do not need a write. All holders together reserve at most
+/// half of what is free.
 const SPARE_DIVISOR: u64 = 2;
-/// Divisor of the limit for the most that a holder takes beyond its need. Were a holder's share
-/// dropped though it lives, this is by how much the limit could be exceeded: half of the tenth that
-/// is usually allowed.
-const SPARE_LIMIT_DIVISOR: u64 = 20;
+/// Divisor of the limit for the maximum that a holder reserves beyond its need. If the share of a
+/// live holder is dropped, the limit can be exceeded by this amount: half of the tenth that is
+/// usually tolerated.
+const MAX_SPARE_DIVISOR: u64 = 20;
 
-/// Divisor of what a holder may hold beyond its need, below which it writes to hold more.
+/// Divisor of the reserve that a holder may have: below this part of it, the holder writes to
+/// reserve more.
 const TOP_UP_DIVISOR: u64 = 2;
-/// Divisor of a limit for the least that is worth a write: near the limit a job asks for what it needs.
-const TOP_UP_LEAST_DIVISOR: u64 = 200;
+/// Divisor of the limit for the smallest reserve worth a write. Near the limit, each job requests
+/// just what it needs.
+const MIN_TOP_UP_DIVISOR: u64 = 200;
 
-/// What a holder may take beyond its need when `free` of `limit` is lent to nobody.
+/// Amount that a holder may reserve beyond its need when `free` of `limit` is unallocated.
 fn spare(free: u64, limit: u64, holders: u64) -> u64 {
-    (free / (SPARE_DIVISOR * holders.max(1))).min(limit / SPARE_LIMIT_DIVISOR)
+    (free / (SPARE_DIVISOR * holders.max(1))).min(limit / MAX_SPARE_DIVISOR)
 }
 
-/// What a holder should do to use more.
+/// What a holder has to do before it may use more of the limit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ShareStep {
-    /// It is within its share: use it.
+    /// The amount is within the holder's share and may be used.
     Granted,
-    /// Write this; once that is done it may be used.
+    /// The proposal has to be written first.
     Write(ShareProposal),
-    /// Not enough is free: others may hold more than they use.
+    /// Not enough is free, but other holders may hold more than they use.
     Full {
-        /// How much is missing.
+        /// Amount that is missing.
         missing: u64,
     },
 }
 
-/// Whether a holder may use more, as far as it knows.
+/// Whether a holder may use more of the limit, as far as it knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ShareAvailability {
-    /// It is within its share, also while a write is under way: use it.
+    /// The amount is within the holder's share and may be used, even while a write is in progress.
     Held,
-    /// Enough is free; it has to be lent by a write.
+    /// Enough is free, but it has to be allocated by a write.
     Free,
-    /// Not enough is free, whatever becomes of a write under way: others may hold more than they use.
+    /// Not enough is free, regardless of the outcome of a write in progress. Other holders may hold
+    /// more than they use. The value is the missing amount.
     Missing(u64),
 }
 
-/// A table to be written.
+/// A share table to be written.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ShareProposal {
-    /// The table.
+    /// The new table.
     pub table: ShareTable,
-    /// The revision that the stored one must have; `None` where there must be none yet.
+    /// Revision that the stored table must have; `None` if it must not exist yet.
     pub revision: Option<u64>,
-    /// The writer's share in it.
+    /// Share of the writer in the new table.
     lent: u64,
 }
 
-/// A share that nobody has been heard to use.
+/// Share of a holder that has not been heard from.
 #[derive(Debug, Clone, Copy)]
 struct SilentShare {
     turn: u64,
     since: MonoTime,
 }
 
-/// One gateway's part in one limit.
+/// One gateway's share of one limit.
 #[derive(Debug)]
 pub struct ShareHolder {
-    /// This gateway with its incarnation.
+    /// Name of this gateway with its incarnation.
     name: String,
-    /// The limit for which `lent` was lent.
+    /// The limit under which `lent` was allocated.
     limit: u64,
-    /// What may be used here. Invariant: at most this holder's share in the stored table.
+    /// Amount that may be used here. Invariant: at most this holder's share in the stored table.
     lent: u64,
-    /// Share in a table that is being written: it may be in force already. Invariant: `lent` is not
-    /// above it, as the write may come to be in force at any time.
+    /// This holder's share in a table that is being written. The write may take effect at any time.
+    /// Invariant: `lent` does not exceed it.
     proposed: Option<u64>,
-    /// What of `proposed` is for the use for which it is being written.
+    /// The part of `proposed` that is reserved for the job for which it is being written.
     pending: u64,
-    /// The table as last heard of. Shares in it may have been given back since by word of their
-    /// holders; each rises only by a write, after which this revision is an old one.
+    /// Last known table. Holders may since have reported that they released part of their shares. A
+    /// share only grows by a write, which makes this revision obsolete.
     table: ShareTable,
     revision: Option<u64>,
-    /// Holders of whom nothing was heard.
+    /// Holders that have not been heard from.
     silent: FastMap<String, SilentShare>,
 }
 
 impl ShareHolder {
-    /// A holder that knows nothing yet.
+    /// Creates a holder without a share or a known table.
     pub fn new(name: &str) -> Self {
         Self {
             name: name.to_owned(),
@@ -108,16 +113,18 @@
         }
     }
 
-    /// The table as last heard of.
+    /// Last known table.
     pub fn table(&self) -> &ShareTable {
         &self.table
     }
 
-    /// Whether `amount` may be used beside `used`, while a write may be under way. The load that it
-    /// answers: jobs that come while the store is slow, so that a write of shares lasts as long as a
-    /// client waits. What is held is used meanwhile; what the write is for stays set aside. `is_in_touch`
-    /// tells whether all others are heard of: one out of touch may have lost its share unheard, so only
-    /// what it has written counts.
+    /// Checks whether `amount` can be used in addition to `used`, also while a write is in
+    /// progress.
+    ///
+    /// While the store is slow, a write of shares can take as long as a client waits. Jobs that
+    /// arrive in the meantime use what is held, except for the part reserved for the job that the
+    /// write is for. `is_in_touch` tells whether all other gateways are heard from. A gateway that
+    /// is not may have lost its share without noticing, so it must allocate by a write.
     pub fn availability(
         &mut self,
         used: u64,
@@ -125,23 +132,24 @@
         limit: u64,
         is_in_touch: bool,
     ) -> ShareAvailability {
-        self.take_limit(limit, used);
+        self.apply_limit(limit, used);
         let needed = used.saturating_add(amount);
         let others = self.table.lent_to_others(&self.name);
-        // Where a limit was lowered below what is lent, what ends must not be used again.
+        // If the limit was lowered below the allocated amount, usage that ends must not be
+        // replaced.
         let is_within = others.saturating_add(self.lent) <= limit;
         let is_held = is_within && self.revision.is_some() && needed <= self.lent;
-        let is_left =
+        let is_unreserved =
             self.proposed.is_none_or(|share| needed.saturating_add(self.pending) <= share);
-        if is_in_touch && is_held && is_left {
+        if is_in_touch && is_held && is_unreserved {
             return ShareAvailability::Held;
         }
         let all = others.saturating_add(needed);
         if all > limit { ShareAvailability::Missing(all - limit) } else { ShareAvailability::Free }
     }
 
-    /// What to do to use `amount` beside `used`, while no write is under way. `holders` is how many
-    /// gateways there are.
+    /// Determines what to do to use `amount` in addition to `used` while no write is in progress.
+    /// `holders` is the number of gateways.
     pub fn step(
         &mut self,
         used: u64,
@@ -163,29 +171,31 @@
         ShareStep::Write(proposal)
     }
 
-    /// The write that makes room here for what comes next, while there is much less than there may be;
-    /// `None` when nothing needs to be written. Done ahead, the next jobs don't wait for the store: one
-    /// that answers in a quarter of a second would make each of them late.
+    /// Returns the write that reserves more for the next jobs, or `None` if the reserve suffices.
+    /// Writing ahead of need keeps the jobs from waiting for the store, which would make each of
+    /// them late if it took a quarter of a second to answer.
     pub fn top_up(&mut self, used: u64, limit: u64, holders: u64) -> Option<ShareProposal> {
-        self.take_limit(limit, used);
+        self.apply_limit(limit, used);
         let needed = self.table.lent_to_others(&self.name).saturating_add(used);
         let wanted = spare(limit.checked_sub(needed)?, limit, holders);
         let held = self.lent.saturating_sub(used);
         let is_enough = self.revision.is_some() && held >= wanted / TOP_UP_DIVISOR;
-        if is_enough || wanted < limit / TOP_UP_LEAST_DIVISOR {
+        if is_enough || wanted < limit / MIN_TOP_UP_DIVISOR {
             return None;
         }
         Some(self.propose(self.table.clone(), used.saturating_add(wanted)))
     }
 
-    /// The write that must be done before work of other holders is taken over, which `used` counts
-    /// already: it waits anyway, so it counts whatever the limit is.
+    /// Returns the write that must precede taking over work of other holders; `used` already
+    /// includes that work. The work has been accepted before, so it is allocated even beyond the
+    /// limit.
     pub fn propose_for_takeover(&mut self, used: u64) -> ShareProposal {
         let lent = self.lent.max(used);
         self.propose(self.table.clone(), lent)
     }
 
-    /// The write after work was taken over: its former holders hold that much less.
+    /// Returns the write that follows a takeover: it reduces the shares of the former holders by
+    /// the amounts taken over.
     pub fn propose_after_takeover(&mut self, taken: &[(String, u64)]) -> ShareProposal {
         let mut table = self.table.clone();
         for (holder, amount) in taken.iter().filter(|(holder, _)| *holder != self.name) {
@@ -199,30 +209,30 @@
         table.write_own(&self.name, lent);
         self.proposed = Some(lent);
         self.pending = 0;
-        // What the write gives back isn't used from now on.
+        // Stop using what the write releases, before it takes effect.
         self.lent = self.lent.min(lent);
         ShareProposal { table, revision: self.revision, lent }
     }
 
-    /// A proposal was written.
+    /// Records that a proposal was written.
     pub fn written(&mut self, proposal: ShareProposal, revision: u64) {
         self.not_written();
         self.lent = proposal.lent;
         let mut table = proposal.table;
         if self.revision == proposal.revision {
-            // Nobody else wrote in between, so what was given back while it was written stays so.
+            // No other write came in between, so releases reported during the write remain valid.
             table.lower_others(&self.name, &self.table);
         }
         self.adopt(table, revision);
     }
 
-    /// A proposal was not written, or nobody can say.
+    /// Records that a proposal was not written or that the outcome of the write is unknown.
     pub fn not_written(&mut self) {
         self.proposed = None;
         self.pending = 0;
     }
 
-    /// The table as another gateway or the store tells it.
+    /// Adopts a table received from another gateway or the store if it is newer.
     pub fn adopt(&mut self, table: ShareTable, revision: u64) {
         if self.revision.is_none_or(|known| known < revision) {
             self.table = table;
@@ -230,46 +240,47 @@
         }
     }
 
-    /// The stored table is gone.
+    /// Forgets the known table because the stored one is gone.
     pub fn forget_table(&mut self) {
         self.table = ShareTable::default();
         self.revision = None;
     }
 
-    /// Gives back what isn't used; what may still be used here.
+    /// Releases the unused part of the share. Returns the amount that may still be used here.
     pub fn release_unused(&mut self, used: u64) -> u64 {
         let kept = used.max(self.proposed.unwrap_or(0));
         self.lent = self.lent.min(kept);
         kept
     }
 
-    /// Another holder gave back all above `lent`, after `revision` of the table was known here.
+    /// Records that another holder lowered its share to `lent`, as asked when `revision` was the
+    /// known revision of the table.
     pub fn lowered(&mut self, holder: &str, lent: u64, revision: Option<u64>) {
-        // A table of a later revision may hold a share that it took after that.
+        // In a table of a later revision, the holder may have increased its share again.
         if self.revision == revision {
             self.table.give_back(holder, lent);
         }
     }
 
-    /// What all use together, `used` of it here, as far as is known.
+    /// Usage of all gateways together, as far as known; `used` is this gateway's part.
     pub fn used_by_all(&self, used: u64) -> u64 {
         self.table.lent_to_others(&self.name).saturating_add(used)
     }
 
-    /// Revision of the table as last heard of.
+    /// Revision of the last known table.
     pub fn revision(&self) -> Option<u64> {
         self.revision
     }
 
-    /// Holders whose share stood unchanged since before `patience`, while `is_alive` said that they
-    /// aren't there.
+    /// Returns the holders whose shares have been unchanged for `timeout` while `is_alive` reported
+    /// them as gone.
     pub fn silent_holders(
         &mut self,
         is_alive: impl Fn(&str) -> bool,
-        patience: Duration,
+        timeout: Duration,
         now: MonoTime,
     ) -> Vec<String> {
-        let mut long = Vec::new();
+        let mut expired = Vec::new();
         let mut silent = FastMap::default();
         for (holder, share) in self.table.shares() {
             if holder == self.name || is_alive(holder) {
@@ -277,17 +288,17 @@
             }
             let known = self.silent.get(holder).filter(|known| known.turn == share.turn);
             let since = known.map_or(now, |known| known.since);
-            if now.since(since) >= patience {
-                long.push(holder.to_owned());
+            if now.since(since) >= timeout {
+                expired.push(holder.to_owned());
             }
             silent.insert(holder.to_owned(), SilentShare { turn: share.turn, since });
         }
         self.silent = silent;
-        long
+        expired
     }
 
-    /// Another limit is in force: what was lent beyond use under the former one no longer counts.
-    fn take_limit(&mut self, limit: u64, used: u64) {
+    /// Applies a changed limit: the reserve allocated under the former limit is no longer valid.
+    fn apply_limit(&mut self, limit: u64, used: u64) {
         if limit != self.limit {
             self.lent = self.lent.min(used);
             self.limit = limit;
--- a/crates/relay/src/limits/table.rs
+++ b/crates/relay/src/limits/table.rs
@@ -1,4 +1,4 @@
-//! What is lent of one limit, and to whom.
+//! Allocation of a limit to its holders.
 
 use std::collections::BTreeMap;
 
@@ -7,32 +7,32 @@
 /// One holder's share of a limit.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HolderShare {
-    /// What the holder may use without asking.
+    /// Amount that the holder may use without asking others.
     pub lent: u64,
-    /// Rises with each write by the holder itself: one that writes is alive.
+    /// Incremented by each write of the holder itself; a change shows that it is alive.
     pub turn: u64,
 }
 
-/// All shares of one limit: one object of the store, which only a write under the condition of its
-/// revision changes. Invariant: what a holder uses is never above its share here.
+/// Shares of all holders of one limit. It is stored as one object that is only changed by writes
+/// conditional on its revision. Invariant: no holder uses more than its share here.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShareTable {
-    /// By the holder's name with its incarnation.
+    /// Shares by holder name including the incarnation.
     holders: BTreeMap<String, HolderShare>,
 }
 
 impl ShareTable {
-    /// A holder's share.
+    /// The share of a holder; zero if it has none.
     pub fn share(&self, holder: &str) -> HolderShare {
         self.holders.get(holder).copied().unwrap_or_default()
     }
 
-    /// Every holder's share.
+    /// Shares of all holders.
     pub fn shares(&self) -> impl Iterator<Item = (&str, HolderShare)> {
         self.holders.iter().map(|(holder, share)| (holder.as_str(), *share))
     }
 
-    /// What is lent to all but `holder`.
+    /// Sum of the shares of all holders except `holder`.
     pub fn lent_to_others(&self, holder: &str) -> u64 {
         let others = self.holders.iter().filter(|(name, _)| *name != holder);
         others.fold(0, |sum, (_, share)| sum.saturating_add(share.lent))
@@ -45,7 +45,7 @@
         share.turn += 1;
     }
 
-    /// A holder has given back all above `lent`; one that holds nothing is left out.
+    /// Lowers a holder's share to `lent`. A holder with an empty share is removed.
     pub fn give_back(&mut self, holder: &str, lent: u64) {
         let Some(share) = self.holders.get_mut(holder) else { return };
         share.lent = share.lent.min(lent);
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Lowers each share but that of `own` to what it is in `heard`, a table of the same revision.
+    /// Lowers the shares of all holders except `own` to those in `heard`, a table of the same
+    /// revision.
     pub fn lower_others(&mut self, own: &str, heard: &Self) {
         for (holder, share) in &mut self.holders {
             if holder != own {
--- a/crates/relay/src/routes.rs
+++ b/crates/relay/src/routes.rs
@@ -1,4 +1,4 @@
-//! Configuration in force and the route that a request takes.
+//! Configuration in force and look-up of routes.
 
 pub mod configuration;
 pub mod dropped;
--- a/crates/relay/src/routes/configuration.rs
+++ b/crates/relay/src/routes/configuration.rs
@@ -1,19 +1,19 @@
-//! One version of the operators' configuration.
+//! A version of the operators' configuration.
 
 use std::time::Duration;
 
 use crate::{accounts::account::AccountEntry, routes::route::Route};
 
-/// What clients may send, and how long they may take.
+/// Limits on client requests and connections.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClientLimits {
-    /// Bytes of a request's head, at most.
+    /// Maximum size of a request's head in bytes.
     pub head_bytes: usize,
-    /// Bytes of a request's body, at most.
+    /// Maximum size of a request's body in bytes.
     pub body_bytes: usize,
-    /// From a head's first byte to its last.
+    /// Maximum time from the first to the last byte of a request's head.
     pub head_timeout: Duration,
-    /// How long a kept connection may stay idle.
+    /// Maximum idle time of a kept-alive connection.
     pub idle_timeout: Duration,
 }
 
@@ -28,16 +28,16 @@
     }
 }
 
-/// One version of the configuration, whole. Invariant: a process only ever moves to a higher
+/// A complete version of the configuration. Invariant: a process only ever moves to a higher
 /// version.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Configuration {
-    /// Rises with each change, in uneven steps.
+    /// Version number; increases with each change, not necessarily by one.
     pub version: u64,
-    /// Every route.
+    /// All routes.
     pub routes: Vec<Route>,
-    /// Bounds on clients.
+    /// Limits on client requests and connections.
     pub limits: ClientLimits,
-    /// Every client account; `None` where requests need no key.
+    /// All client accounts; `None` if requests need no key.
     pub accounts: Option<Vec<AccountEntry>>,
 }
--- a/crates/relay/src/routes/dropped.rs
+++ b/crates/relay/src/routes/dropped.rs
@@ -1,28 +1,29 @@
-//! When what is known of a route that was dropped may be forgotten.
+//! Retention of state for routes that were removed from the configuration.
 //!
-//! The load that it answers: 2,500 changes of configuration a day, any of which may add routes and drop
-//! others, at gateways that run for months. Kept for good, the names of dropped routes would fill the
-//! memory; forgotten at once, a route that is dropped by mistake and brought back would begin anew.
+//! It is designed for 2,500 configuration changes a day, each of which may add and remove routes,
+//! at gateways that run for months. If the state of removed routes were kept forever, it would fill
+//! the memory. If it were dropped at once, a route that is removed by mistake and restored would
+//! start without its state.
 
 use std::time::Duration;
 
 use notch_types::prelude::*;
 
-/// How long a route isn't named before it's forgotten: one change comes every 35 s in the mean, so a
-/// mistake is taken back by the third one after it; and everything in which an older configuration was
-/// used has ended. At that pace the names of a few changes are kept.
-const DROPPED_KEPT: Duration = Duration::from_secs(120);
+/// Time for which the state of a removed route is kept. Changes arrive every 35 s on average, so a
+/// mistake can be corrected by the third change after it, and all requests that use an older
+/// configuration have ended by then. At that rate, the state of a few changes is kept.
+const DROPPED_RETENTION: Duration = Duration::from_secs(120);
 
-/// Routes that the configuration in force doesn't name, and of which something is known still.
+/// Routes that are not in the current configuration but still have state.
 #[derive(Debug, Default)]
 pub struct DroppedRoutes {
-    /// When each was first seen not to be named.
+    /// When each route was first found missing in the configuration.
     since: FastMap<String, MonoTime>,
 }
 
 impl DroppedRoutes {
-    /// Of the routes of which something is `known`, those to be forgotten at `now`. Invariant: only
-    /// known ones are remembered here.
+    /// Returns the routes among `known` whose state is to be dropped at `now`. Invariant: only
+    /// routes among `known` are remembered here.
     pub fn due(
         &mut self,
         known: impl IntoIterator<Item = String>,
@@ -35,7 +36,8 @@
             (route, since)
         };
         self.since = dropped.map(since).collect();
-        let long = self.since.iter().filter(|(_, since)| now.since(**since) >= DROPPED_KEPT);
-        long.map(|(route, _)| route.clone()).collect()
+        let expired =
+            self.since.iter().filter(|(_, since)| now.since(**since) >= DROPPED_RETENTION);
+        expired.map(|(route, _)| route.clone()).collect()
     }
 }
--- a/crates/relay/src/routes/route.rs
+++ b/crates/relay/src/routes/route.rs
@@ -1,15 +1,15 @@
-//! One route.
+//! Routes of a configuration.
 
 use std::time::Duration;
 
 use crate::jobs::spec::JobTerms;
 
-/// What may be repeated, and how the answer comes.
+/// Kind of a route: whether requests may be repeated, and the form of the answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
-    /// May run more than once.
+    /// Requests may run more than once.
     Idempotent,
-    /// May run once at most.
+    /// Requests may run at most once.
     NonIdempotent,
     /// The answer is a stream of events.
     Streaming,
@@ -20,37 +20,37 @@
 /// A service with its share of a route's requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WeightedService {
-    /// The service's name.
+    /// Name of the service.
     pub service: String,
-    /// Its share, against the sum of all weights.
+    /// Weight of the service relative to the sum of all weights.
     pub weight: u32,
 }
 
 /// One route.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Its name, unique in a configuration.
+    /// Name of the route, unique in a configuration.
     pub name: String,
-    /// The host that requests name.
+    /// Host that requests are sent to.
     pub host: String,
-    /// Begins every path of the route. Invariant: begins and ends with a slash.
+    /// Prefix of all paths of the route. Invariant: begins and ends with a slash.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Kind of the route.
     pub kind: RouteKind,
-    /// Longest time a request is kept waiting for its whole answer.
+    /// Maximum time that a request waits for its complete answer.
     pub timeout: Duration,
-    /// Latency objective: to the answer, or to a stream's first event.
+    /// Latency objective: time to the answer or to a stream's first event.
     pub objective: Duration,
-    /// Where requests go. Invariant: not empty, and some weight is above 0.
+    /// Services that requests are sent to. Invariant: not empty, with at least one weight above 0.
     pub services: Vec<WeightedService>,
-    /// Targets that one client attempt may run on, at most.
+    /// Maximum number of targets that one client attempt may run on.
     pub max_attempts: u32,
-    /// Whether a broken stream may go on at another target.
+    /// Whether an interrupted stream may be resumed at another target.
     pub resumable: bool,
-    /// Longest pause between events of an answer that is in time.
+    /// Maximum pause between two events of an answer that is in time.
     pub event_gap: Duration,
-    /// Tokens of jobs of one account that may wait on a batch route at all gateways together, or of all
-    /// jobs where there are no accounts; 0 for no limit.
+    /// Maximum number of tokens of waiting jobs on a batch route at all gateways together, for each
+    /// account or, if there are no accounts, for all jobs; 0 for no limit.
     pub waiting_limit: u64,
     /// Terms of a batch route.
     pub job_terms: Option<JobTerms>,
@@ -59,8 +59,8 @@
 }
 
 impl Route {
-    /// Whether a request that may have run may be sent again. A stream that can't be resumed may
-    /// not: its second run would be other text under the same id.
+    /// Whether a request that may have run may be sent again. A stream that cannot be resumed may
+    /// not: its second run would produce different text under the same id.
     pub fn may_repeat(&self) -> bool {
         match self.kind {
             RouteKind::Idempotent | RouteKind::Batch => true,
@@ -69,14 +69,14 @@
         }
     }
 
-    /// Each service with its part of the route's requests, from 0 to 1.
+    /// Services with their fractions of the route's requests, from 0 to 1.
     pub fn parts(&self) -> impl Iterator<Item = (&str, f64)> {
         let sum: f64 = self.services.iter().map(|s| f64::from(s.weight)).sum();
         let services = self.services.iter().filter(|service| service.weight > 0);
         services.map(move |s| (s.service.as_str(), f64::from(s.weight) / sum))
     }
 
-    /// The service for a request, by a number that is the same for each of its attempts.
+    /// Selects the service for a request by `draw`, which is the same for each of its attempts.
     pub fn service_for(&self, draw: u64) -> &str {
         let sum: u64 = self.services.iter().map(|s| u64::from(s.weight)).sum();
         let mut left = draw.checked_rem(sum).unwrap_or(0);
--- a/crates/relay/src/routes/table.rs
+++ b/crates/relay/src/routes/table.rs
@@ -1,4 +1,4 @@
-//! Finds the route of a request.
+//! Look-up of the route of a request.
 
 use std::sync::Arc;
 
@@ -15,19 +15,19 @@
     },
 };
 
-/// A configuration, ordered for look-ups.
+/// A configuration indexed for look-ups.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     version: u64,
     limits: ClientLimits,
     /// By host. Invariant: longest prefix first.
     routes: FastMap<String, Vec<Arc<Route>>>,
-    /// `None` where requests need no key.
+    /// `None` if requests need no key.
     accounts: Option<AccountTable>,
 }
 
 impl RouteTable {
-    /// Orders a configuration.
+    /// Indexes a configuration.
     pub fn new(configuration: Configuration) -> Self {
         let mut routes: FastMap<String, Vec<Arc<Route>>> = FastMap::default();
         for route in configuration.routes {
@@ -40,17 +40,17 @@
         Self { version: configuration.version, limits: configuration.limits, routes, accounts }
     }
 
-    /// The configuration's version.
+    /// Version of the configuration.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Bounds on clients.
+    /// Limits on client requests and connections.
     pub fn limits(&self) -> &ClientLimits {
         &self.limits
     }
 
-    /// The route with the longest prefix of `path` among those of `host`. The query takes no part.
+    /// Finds the route of `host` with the longest prefix of `path`. The query string is ignored.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let path = path.split_once('?').map_or(path, |(path, _)| path);
         let list = match self.routes.get(host) {
@@ -60,13 +60,13 @@
         list.iter().find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// The accounts; `None` where requests need no key.
+    /// Accounts; `None` if requests need no key.
     pub fn accounts(&self) -> Option<&AccountTable> {
         self.accounts.as_ref()
     }
 
-    /// Who sends a request with `key`, to a route that may be open to all. Known accounts are told apart there,
-    /// too.
+    /// Identifies the sender of a request with `key` to a route that may be public. Known accounts
+    /// are identified on public routes too.
     pub fn identify(&self, key: Option<AccountKey>, is_public: bool) -> CallerIdentity {
         let Some(accounts) = &self.accounts else { return CallerIdentity::Anyone };
         match key.and_then(|key| accounts.find(key)) {
@@ -76,20 +76,21 @@
         }
     }
 
-    /// Whether a batch route of `host` needs no key, so that calls about its jobs don't, either.
+    /// Whether `host` has a public batch route, in which case calls about its jobs need no key
+    /// either.
     pub fn is_public_host(&self, host: &str) -> bool {
         let list = self.routes.get(host).or_else(|| self.routes.get(&host_name(host)));
         let batch = list.into_iter().flatten().filter(|route| route.job_terms.is_some());
         batch.into_iter().any(|route| route.is_public)
     }
 
-    /// Every route.
+    /// All routes.
     pub fn routes(&self) -> impl Iterator<Item = &Arc<Route>> {
         self.routes.values().flatten()
     }
 }
 
-/// A host as look-ups spell it: lower case, without its port.
+/// Normalizes a host for look-ups: lower case, without the port.
 fn host_name(host: &str) -> String {
     let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
     name.to_ascii_lowercase()
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -1,4 +1,4 @@
-//! Streams of events.
+//! Event streams.
 
 pub mod event;
 pub mod splitter;
--- a/crates/relay/src/stream/event.rs
+++ b/crates/relay/src/stream/event.rs
@@ -1,27 +1,27 @@
-//! One event of a stream.
+//! Events of a stream.
 
-/// Why bytes are not the next event of a stream.
+/// Why received bytes are not the next event of a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EventFault {
-    /// An event without an id, or with one that is no number.
+    /// The event has no id, or one that is not a number.
     NoId,
-    /// An id that doesn't follow the one before: a piece is missing or stands twice.
+    /// The id does not follow the one before: an event is missing or repeated.
     OutOfOrder,
-    /// An event larger than the buffer allows.
+    /// The event exceeds the maximum size.
     TooLarge,
 }
 
-/// One whole event.
+/// A complete event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StreamEvent {
-    /// Its number in the stream.
+    /// Sequence number of the event in the stream.
     pub id: u64,
-    /// The event as it came, with its blank line.
+    /// The event as received, including the blank line at its end.
     pub bytes: Vec<u8>,
 }
 
 impl StreamEvent {
-    /// The event's data, lines joined by line feeds.
+    /// Data of the event, its lines joined by line feeds.
     pub fn data(&self) -> Vec<u8> {
         let mut data = Vec::with_capacity(self.bytes.len());
         let mut first = true;
@@ -37,12 +37,12 @@
     }
 }
 
-/// The lines of an event, without their ends.
+/// Lines of an event without their line endings.
 pub(crate) fn lines(bytes: &[u8]) -> impl Iterator<Item = &[u8]> {
     bytes.split(|b| *b == b'\n').map(|line| line.strip_suffix(b"\r").unwrap_or(line))
 }
 
-/// The value of a line of the field `name`, or `None` when the line is of another one.
+/// Value of `line` if its field is `name`.
 pub(crate) fn field<'a>(line: &'a [u8], name: &[u8]) -> Option<&'a [u8]> {
     let value = line.strip_prefix(name)?.strip_prefix(b":")?;
     Some(value.strip_prefix(b" ").unwrap_or(value))
--- a/crates/relay/src/stream/splitter.rs
+++ b/crates/relay/src/stream/splitter.rs
@@ -1,39 +1,40 @@
-//! Cuts a stream's bytes into whole events.
+//! Splitting of a byte stream into complete events.
 
 use crate::stream::event::{EventFault, StreamEvent, field, lines};
 
-/// Bytes of one event, at most: far above any event seen, far below a VM's memory.
+/// Maximum size of an event in bytes: far above any event seen and far below a VM's memory.
 const EVENT_MAX_BYTES: usize = 1 << 20;
 
-/// Cuts a stream's bytes into whole events and checks that their ids rise by one.
+/// Splits a byte stream into complete events and checks that their ids increase by one.
 ///
-/// A target may break off in the middle of an event. Were such a part passed on, the stream could
-/// not go on at another target without joining pieces of two runs, so only whole events leave
-/// here; what is left at the end was never shown to anyone.
+/// A target may fail in the middle of an event. If a partial event were forwarded, the stream could
+/// not be resumed at another target without joining pieces of two runs. Only complete events are
+/// returned, so a partial event at the end was never forwarded.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: Vec<u8>,
-    /// Up to here the buffer was searched for an event's end.
+    /// Length of the part of `buffer` already searched for the end of an event.
     searched: usize,
-    /// Id of the last whole event.
+    /// Id of the last complete event.
     last: Option<u64>,
 }
 
 impl EventSplitter {
-    /// A splitter of a stream that goes on after event `last`; the next one must follow it.
+    /// Creates a splitter for a stream that resumes after event `last`; the next event must follow
+    /// it.
     pub fn after(last: Option<u64>) -> Self {
         Self { last, ..Self::default() }
     }
 
-    /// Takes more of the stream's bytes.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole event, if there is one.
+    /// Returns the next complete event, if there is one.
     ///
     /// # Errors
-    /// The bytes are not the next event of this stream; nothing after them may be used.
+    /// If the bytes are not the next event of this stream. Nothing after them may be used.
     pub fn next_event(&mut self) -> Result<Option<StreamEvent>, EventFault> {
         let Some(end) = self.find_end() else {
             let oversized = self.buffer.len() > EVENT_MAX_BYTES;
@@ -53,12 +54,12 @@
         Ok(Some(StreamEvent { id, bytes }))
     }
 
-    /// Id of the last whole event, or of the one that the stream was resumed after.
+    /// Id of the last complete event, or of the event after which the stream was resumed.
     pub fn last_id(&self) -> Option<u64> {
         self.last
     }
 
-    /// Whether bytes of an event without its end are left.
+    /// Whether the buffer contains a partial event.
     pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
