--- a/crates/entry/src/batch/room.rs
+++ b/crates/entry/src/batch/room.rs
@@ -49,7 +49,7 @@
         let demand = WorkDemand::joined(intake.demands(service).chain([&own]));
         let places = intake.mean_free_slots(service) * own_part(node, now);
         let job = DueWork { work: job.work.mul_f64(part), ..job };
-        let wait = JobAdmissionForecast { demand: &demand, places }.refusal(job, now)?;
+        let wait = JobAdmissionForecast { demand: &demand, slots: places }.refusal(job, now)?;
         // A line for each would be thousands a second.
         if intake.may_log(now) {
             node.log.info(
--- a/crates/relay/src/jobs.rs
+++ b/crates/relay/src/jobs.rs
@@ -1,8 +1,8 @@
-//! Jobs that this gateway owns: their items, what is to run next, and the list of results.
+//! Jobs owned by this gateway: their items, the scheduling of the items, and the list of results.
 
-pub mod board;
-pub mod doubt;
 pub mod owned;
-pub mod pace;
+pub mod ownership;
 pub mod result;
+pub mod run_time;
 pub mod spec;
+pub mod table;
--- a/crates/relay/src/jobs/owned.rs
+++ b/crates/relay/src/jobs/owned.rs
@@ -1,4 +1,4 @@
-//! One job that this gateway runs.
+//! A job owned by this gateway.
 
 use std::{sync::Arc, time::Duration};
 
@@ -6,36 +6,41 @@
 use serde::{Deserialize, Serialize};
 
 use crate::jobs::{
-    doubt::OwnershipGeneration,
-    pace::ItemRunTime,
+    ownership::OwnershipGeneration,
     result::{ItemState, ResultLine},
+    run_time::ItemRunTime,
     spec::{ItemSpec, JobSpec},
 };
 
-/// Wait after a failed run before the item's next one: a target that fails at once would otherwise
-/// take up all attempts within a blink.
+/// Delay before an item is retried after a failed run. Without it, a target that fails at once
+/// would use up all attempts within moments.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
-/// Wait after a target turned an item away: it was thought to have a place.
+/// Delay before an item is retried after a target rejected it although it was believed to have a
+/// free slot.
 const NOT_RUN_PAUSE: Duration = Duration::from_millis(100);
-/// Wait after an item was broken off for online work: a crest of requests lasts longer than that.
+/// Delay before an item is retried after it was preempted by online work: a peak of requests lasts
+/// longer than that.
 const PREEMPTED_PAUSE: Duration = Duration::from_millis(200);
-/// Doublings of the wait after runs that broke off without an event, up to 10 s. An item that
-/// crashes each target that runs it would otherwise take down the fleet, one target after another.
-const BREAK_DOUBLINGS: u32 = 6;
-/// A result waits for others for this part of the time left until the job is due, at most.
-const DELAY_DIVISOR: u32 = 8;
-/// An item's lifetime ends within this time: it runs before others though it is late, or it would
-/// be given up without a run.
-const LAST_CALL: Duration = Duration::from_secs(10);
-/// Part of an item's usual time that an item needs which has progress.
-const REST_DIVISOR: u32 = 2;
-/// Added to an item's lifetime before it is given up, for wall clocks of two VMs that differ.
+/// Maximum number of doublings of the delay after runs interrupted without an event, for a delay of
+/// up to 10 s. Without this backoff, an item that crashes each target running it would take down
+/// one target of the fleet after another.
+const MAX_DOUBLINGS: u32 = 6;
+/// Divisor of the time left until the job is due: the maximum delay of a result that waits for
+/// others.
+const MAX_DELAY_DIVISOR: u32 = 8;
+/// Remaining lifetime below which an item runs before others even if it is late, since it would
+/// otherwise be given up without a run.
+const EXPIRY_PRIORITY_WINDOW: Duration = Duration::from_secs(10);
+/// Divisor of an item's expected run time if it has progress already.
+const PROGRESS_DIVISOR: u32 = 2;
+/// Added to an item's lifetime before it is given up, to allow for differing wall clocks of two
+/// VMs.
 const LIFETIME_MARGIN: Duration = Duration::from_secs(3);
 
-/// What is held of an item that hasn't ended.
+/// Partial output of an unfinished item.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldProgress {
-    /// The item.
+    /// Id of the item.
     pub item: String,
     /// Id of the last event held.
     pub last_event: u64,
@@ -47,79 +52,81 @@
 /// How a run of an item ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ItemEnd {
-    /// With its whole output.
+    /// The output is complete.
     Completed,
-    /// The target says that it can never be done.
+    /// The target reported that the item can never succeed.
     Impossible,
-    /// The target ran it and reports a failure.
+    /// The target ran the item and reported a failure.
     Failed,
-    /// The target broke it off; the progress made is kept.
+    /// The run was interrupted at the target; its progress is kept.
     Interrupted,
-    /// The target had no place for it, or wasn't there.
+    /// The target had no free slot or was not reachable.
     NotRun,
-    /// We broke it off to give its place to online work; the progress made is kept.
+    /// This gateway preempted the run for online work; its progress is kept.
     Preempted,
 }
 
-/// Where an item stands.
+/// State of an item.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ItemPhase {
-    /// To be run, not before the time given.
+    /// To be run, but not before this time.
     Waiting(MonoTime),
-    /// A run is under way.
+    /// A run is in progress.
     Running,
-    /// Ended: its result waits to be stored, or is.
+    /// Ended: its result is stored or waits to be stored.
     Ended,
 }
 
 #[derive(Debug)]
 struct ItemProgress {
     phase: ItemPhase,
-    /// Runs that ended in a target's failure.
+    /// Runs that ended in a failure reported by the target.
     failures: u32,
-    /// Runs in a row that broke off without an event.
-    breaks: u32,
+    /// Consecutive runs that were interrupted without an event.
+    interruptions: u32,
     /// Id of the last event held.
     last_event: Option<u64>,
-    /// Data of the events held.
+    /// Data of the events held, joined by line feeds.
     output: Vec<u8>,
 }
 
-/// One job that this gateway runs and whose result list it extends.
+/// A job that this gateway runs and whose result list it extends.
 #[derive(Debug)]
 pub struct OwnedJob {
     spec: Arc<JobSpec>,
-    /// All results are due then.
+    /// When all results are due.
     due: MonoTime,
-    /// Items may be given up from then on.
+    /// From when on items may be given up.
     expires: MonoTime,
     items: Vec<ItemProgress>,
-    /// Stored results, in their order. Invariant: only grows, each item at most once.
+    /// Stored results in order. Invariant: only grows, with at most one result for each item.
     results: Vec<Arc<ResultLine>>,
-    /// Results that aren't stored yet.
+    /// Results that are not stored yet.
     pending: Vec<Arc<ResultLine>>,
-    /// Fences that stand at the end of the stored list: gateways that took the job over there.
+    /// Fences at the end of the stored list, each written by a gateway that took over the job
+    /// there.
     fences: u32,
-    /// Results from the front of `pending` that are being stored.
+    /// Number of results at the front of `pending` that are being stored.
     storing: usize,
-    /// Since when. A write under way may have been done without an answer.
+    /// When that write began. It may have taken effect without an answer.
     storing_since: MonoTime,
-    /// When the oldest pending result came.
+    /// Since when the oldest pending result has waited.
     pending_since: MonoTime,
-    /// The last doubt whether another gateway owns the job.
+    /// Generation from which on a confirmation of ownership counts.
     required: OwnershipGeneration,
-    /// The number under which the latest confirmation that this gateway owns it was asked for.
+    /// Generation in which the latest confirmation of ownership was requested.
     confirmed: OwnershipGeneration,
-    /// Another gateway wrote where this one wanted to, and no question asked since then was answered.
-    /// Invariant: nothing is stored meanwhile. A former owner that went on after the fence it had found
-    /// would extend a list that the new owner takes for its own.
+    /// Whether another gateway wrote at the position where this one wanted to, and ownership has
+    /// not been confirmed by a request made since then. Invariant: nothing is stored meanwhile. If
+    /// a former owner continued after a fence that it found, it would extend the list that the new
+    /// owner considers its own.
     is_displaced: bool,
-    /// The client ended it: nothing of it runs any more.
+    /// Whether the client ended the job, so that none of its items runs any more.
     ended: bool,
 }
 
 impl OwnedJob {
-    /// A job taken at `now` whose stored results so far are `results`.
+    /// Creates the state of a job taken at `now` with the `results` stored so far.
     pub fn new(spec: Arc<JobSpec>, results: Vec<Arc<ResultLine>>, now: Now) -> Self {
         let age = Duration::from_millis(now.wall.0.saturating_sub(spec.accepted_at.0));
         let due = now.mono + spec.terms.due.saturating_sub(age);
@@ -160,33 +167,34 @@
         &self.results
     }
 
-    /// Fences at the end of the stored list, one of them this gateway's own if it took the job over
+    /// Fences at the end of the stored list, including this gateway's own if it took over the job
     /// there.
     pub fn fences(&self) -> u32 {
         self.fences
     }
 
-    /// This many fences stand at the end of the stored list.
+    /// Sets the number of fences at the end of the stored list.
     pub fn set_fences(&mut self, fences: u32) {
         self.fences = fences;
     }
 
-    /// Whether the client ended it.
+    /// Whether the client ended the job.
     pub fn is_ended(&self) -> bool {
         self.ended
     }
 
-    /// Whether nothing is left to do: every item is listed, or the client ended the job.
+    /// Whether no work is left: the results of all items are stored, or the client ended the job.
     pub fn is_closed(&self) -> bool {
         self.ended || self.results.len() >= self.spec.items.len()
     }
 
-    /// The client ended the job.
+    /// Ends the job at the client's request.
     pub fn end(&mut self) {
         self.ended = true;
     }
 
-    /// The next item to run at `now`: one with progress first, since it holds output already.
+    /// Selects the next item to run at `now`. The item with the most output comes first, since that
+    /// output is held in memory.
     pub fn next_item(&self, now: MonoTime) -> Option<usize> {
         if self.ended {
             return None;
@@ -200,43 +208,43 @@
         Some(best.0)
     }
 
-    /// Whether a run of an item that begins at `now` would likely end after the job is due. One
-    /// whose lifetime is nearly over doesn't count as late: it would be given up.
-    pub fn is_late(&self, index: usize, pace: &ItemRunTime, now: MonoTime) -> bool {
-        let item_time = pace.expected(self.spec.items[index].answer.expected());
+    /// Whether a run of an item that begins at `now` is likely to end after the job is due. An item
+    /// whose lifetime is nearly over is not considered late, since it would be given up.
+    pub fn is_late(&self, index: usize, run_time: &ItemRunTime, now: MonoTime) -> bool {
+        let item_time = run_time.expected(self.spec.items[index].answer.expected());
         let has_progress = self.items[index].last_event.is_some();
-        let needed = if has_progress { item_time / REST_DIVISOR } else { item_time };
-        now + needed > self.due && now + LAST_CALL < self.expires
+        let needed = if has_progress { item_time / PROGRESS_DIVISOR } else { item_time };
+        now + needed > self.due && now + EXPIRY_PRIORITY_WINDOW < self.expires
     }
 
-    /// How long its items that can still be in time would take one place. One that runs counts as the rest of
-    /// an item; those that would end late give way to others.
-    pub fn timely_work(&self, pace: &ItemRunTime, now: MonoTime) -> Duration {
+    /// Run time on one slot of the items that can still be done in time. A running item counts with
+    /// a part of its run time; items that would end late give way to others.
+    pub fn timely_work(&self, run_time: &ItemRunTime, now: MonoTime) -> Duration {
         if self.ended || self.due <= now {
             return Duration::ZERO;
         }
         let items = self.items.iter().enumerate();
         let timely = items.filter(|(index, item)| match item.phase {
-            ItemPhase::Waiting(_) => !self.is_late(*index, pace, now),
+            ItemPhase::Waiting(_) => !self.is_late(*index, run_time, now),
             ItemPhase::Running => true,
             ItemPhase::Ended => false,
         });
         let needed = timely.map(|(index, item)| {
-            let whole = pace.expected_or_default(self.spec.items[index].answer.expected());
+            let whole = run_time.expected_or_default(self.spec.items[index].answer.expected());
             let is_begun = item.phase == ItemPhase::Running || item.last_event.is_some();
-            if is_begun { whole / REST_DIVISOR } else { whole }
+            if is_begun { whole / PROGRESS_DIVISOR } else { whole }
         });
         needed.sum()
     }
 
-    /// Marks an item as running; gives its spec and the last event held.
+    /// Marks an item as running. Returns its spec and the last event held.
     pub fn start_item(&mut self, index: usize) -> (ItemSpec, Option<u64>) {
         let item = &mut self.items[index];
         item.phase = ItemPhase::Running;
         (self.spec.items[index].clone(), item.last_event)
     }
 
-    /// Keeps what a run brought: data of events up to `last_event`, joined by line feeds.
+    /// Adds the output of a run: the data of events up to `last_event`, joined by line feeds.
     pub fn add_progress(&mut self, index: usize, last_event: u64, data: &[u8]) {
         let item = &mut self.items[index];
         if item.phase == ItemPhase::Ended {
@@ -247,10 +255,10 @@
         }
         item.output.extend_from_slice(data);
         item.last_event = Some(last_event);
-        item.breaks = 0;
+        item.interruptions = 0;
     }
 
-    /// What is held of items that haven't ended, for another gateway that goes on with the job.
+    /// Partial output of unfinished items, for another gateway that continues the job.
     pub fn progress(&self) -> Vec<HeldProgress> {
         let items = self.items.iter().zip(&self.spec.items);
         let held = items.filter_map(|(item, spec)| {
@@ -261,7 +269,7 @@
         held.collect()
     }
 
-    /// Goes on from what another gateway held. Only items that have none of their own take it.
+    /// Adopts partial output from another gateway for items that have none.
     pub fn adopt_progress(&mut self, progress: Vec<HeldProgress>) {
         for held in progress {
             let Some(index) = self.spec.items.iter().position(|item| item.id == held.item) else {
@@ -275,7 +283,7 @@
         }
     }
 
-    /// A run of an item ended.
+    /// Handles the end of a run of an item.
     pub fn end_item(&mut self, index: usize, end: &ItemEnd, now: MonoTime) {
         let attempts = self.spec.terms.max_attempts;
         let item = &mut self.items[index];
@@ -297,8 +305,8 @@
                 }
             }
             ItemEnd::Interrupted => {
-                let doublings = item.breaks.min(BREAK_DOUBLINGS);
-                item.breaks += 1;
+                let doublings = item.interruptions.min(MAX_DOUBLINGS);
+                item.interruptions += 1;
                 item.phase = ItemPhase::Waiting(now + RETRY_PAUSE * 2_u32.pow(doublings));
             }
             ItemEnd::NotRun => item.phase = ItemPhase::Waiting(now + NOT_RUN_PAUSE),
@@ -306,7 +314,7 @@
         }
     }
 
-    /// Gives up every item that isn't running when `now` is past the items' lifetime or the job's
+    /// Gives up every item that is not running if the items' lifetime is over at `now` or the job's
     /// route is gone.
     pub fn give_up_items(&mut self, route_gone: bool, now: MonoTime) {
         if !route_gone && now < self.expires {
@@ -319,10 +327,11 @@
         }
     }
 
-    /// Pending results to store now, if none are being stored and they waited for `delay` or
-    /// complete the job; at most `bytes` of output, but one at least. They are the same again
-    /// until [`stored`](Self::stored) or [`displaced`](Self::displaced): a write without an answer
-    /// may still take effect, so only the same bytes may be tried again at the same position.
+    /// Returns pending results to be stored now, if no write is in progress and they have waited
+    /// for `delay` or complete the job. Their output is limited to `bytes`, but at least one result
+    /// is returned. Until [`stored`](Self::stored) or [`displaced`](Self::displaced), the same
+    /// results remain at the front: a write without an answer may still take effect, so it may only
+    /// be retried with the same bytes at the same position.
     pub fn take_pending(
         &mut self,
         delay: Duration,
@@ -332,8 +341,8 @@
         if self.storing > 0 || self.pending.is_empty() || self.ended || self.is_displaced {
             return None;
         }
-        // Near the due time a result counts only if it's listed at once.
-        let delay = delay.min(self.due.since(now) / DELAY_DIVISOR);
+        // Near the due time, a result only counts if it is stored at once.
+        let delay = delay.min(self.due.since(now) / MAX_DELAY_DIVISOR);
         let completes = self.results.len() + self.pending.len() >= self.spec.items.len();
         if !completes && now.since(self.pending_since) < delay {
             return None;
@@ -344,12 +353,12 @@
         Some(taken)
     }
 
-    /// Whether a write of results has been under way since before `before`.
+    /// Whether a write of results has been in progress since `before` or earlier.
     pub fn is_storing_since(&self, before: MonoTime) -> bool {
         self.storing > 0 && self.storing_since <= before
     }
 
-    /// The results taken last are stored at the list's end.
+    /// Records that the results taken last were stored at the end of the list.
     pub fn stored(&mut self, now: MonoTime) {
         let stored: Vec<_> = self.pending.drain(..self.storing).collect();
         self.results.extend(stored);
@@ -358,9 +367,10 @@
         self.pending_since = now;
     }
 
-    /// Another gateway stored `lines`, or a fence where there are none, at the position that the results
-    /// taken last were for. Items listed there are dropped here: the first stored result of an item is
-    /// the one that counts. `doubt` is the number of the doubt that this is.
+    /// Records that another gateway stored `lines`, or a fence if `lines` is empty, at the position
+    /// intended for the results taken last. Pending results of the items in `lines` are dropped:
+    /// the first stored result of an item counts. `generation` is the ownership generation that
+    /// this begins.
     pub fn displaced(
         &mut self,
         lines: Vec<Arc<ResultLine>>,
@@ -382,13 +392,14 @@
         self.results.extend(lines);
     }
 
-    /// From now on another gateway may own the job.
+    /// Requires confirmations of ownership from `generation` on, since another gateway may own the
+    /// job now.
     pub fn require_generation(&mut self, generation: OwnershipGeneration) {
         self.required = self.required.max(generation);
     }
 
-    /// The store says that this gateway owns the job, asked while `asked` was the last doubt. An answer
-    /// may be late: one to a question older than the doubt ends no doubt.
+    /// Records that the store confirmed the ownership, as requested in generation `requested`. The
+    /// answer may be late; if it was requested before the required generation, it does not count.
     pub fn confirm(&mut self, requested: OwnershipGeneration) {
         self.confirmed = self.confirmed.max(requested);
         if self.is_confirmed() {
@@ -396,17 +407,17 @@
         }
     }
 
-    /// Whether ownership was confirmed by a question asked after the last doubt.
+    /// Whether ownership was confirmed by a request made in the required generation or later.
     pub fn is_confirmed(&self) -> bool {
         self.confirmed >= self.required
     }
 
-    /// Whether an item ended, here or by another gateway's result.
+    /// Whether an item has ended, by a result of this or another gateway.
     pub fn item_ended(&self, index: usize) -> bool {
         self.items[index].phase == ItemPhase::Ended
     }
 
-    /// Tokens of the items that haven't ended, against their route's limit.
+    /// Tokens of unfinished items that count against the limit of the job's route.
     pub fn waiting_tokens(&self) -> u64 {
         if self.ended {
             return 0;
@@ -416,7 +427,7 @@
         open.fold(0, |sum, (_, spec)| sum.saturating_add(spec.limit_tokens))
     }
 
-    /// Items that wait to be run or run.
+    /// Number of items that wait or run.
     pub fn open_items(&self) -> usize {
         self.items.iter().filter(|item| item.phase != ItemPhase::Ended).count()
     }
@@ -431,7 +442,7 @@
             self.pending_since = now;
         }
         let id = self.spec.items[index].id.clone();
-        // Events are text; a target that sends other bytes spoils only its own output.
+        // Events are text. A target that sends invalid UTF-8 only corrupts its own output.
         let output = String::from_utf8_lossy(&output).into_owned();
         self.pending.push(Arc::new(ResultLine { id, state, output }));
     }
@@ -440,6 +451,6 @@
 impl ItemProgress {
     fn new(listed: bool) -> Self {
         let phase = if listed { ItemPhase::Ended } else { ItemPhase::Waiting(MonoTime::default()) };
-        Self { phase, failures: 0, breaks: 0, last_event: None, output: Vec::new() }
+        Self { phase, failures: 0, interruptions: 0, last_event: None, output: Vec::new() }
     }
 }
--- a/crates/relay/src/jobs/board.rs
+++ b/crates/relay/src/jobs/table.rs
@@ -1,65 +1,69 @@
-//! The jobs that one gateway owns, and which item runs next.
+//! Jobs owned by one gateway, and the selection of the next item to run.
 
 use std::{sync::Arc, time::Duration};
 
 use notch_types::prelude::*;
 
 use crate::{
-    intake::demand::DueWork,
+    job_admission::demand::DueWork,
     jobs::{
-        doubt::OwnershipGeneration,
         owned::OwnedJob,
-        pace::ItemRunTime,
+        ownership::OwnershipGeneration,
         result::ResultLine,
+        run_time::ItemRunTime,
         spec::{ItemSpec, JobSpec},
     },
 };
 
-/// An item to be run now.
+/// An item to be started.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ItemStart {
-    /// The job's id.
+    /// Id of the job.
     pub job: String,
-    /// The item's place in the job.
+    /// Index of the item in the job.
     pub index: usize,
     /// The item.
     pub item: ItemSpec,
-    /// Host of the job.
+    /// Host that the job was sent to.
     pub host: String,
-    /// The account that sent the job; empty for none.
+    /// Account that sent the job; empty if there is none.
     pub account: String,
-    /// Last event held of an earlier run, which the run goes on after.
+    /// Last event held of an earlier run; the new run resumes after it.
     pub last_event: Option<u64>,
 }
 
-/// The jobs that one gateway owns.
+/// Jobs owned by one gateway.
 #[derive(Debug, Default)]
 pub struct JobTable {
     jobs: FastMap<String, OwnedJob>,
-    /// The last doubt of all.
+    /// Current generation of ownership confirmations. A confirmation only counts for a job if it
+    /// was requested in the generation that the job requires or later.
     ownership_generation: OwnershipGeneration,
-    /// The last doubt that was about every job. Invariant: at most `ownership_generation`.
+    /// Generation in which the ownership of all jobs was last invalidated. Invariant: at most
+    /// `ownership_generation`.
     required_generation: OwnershipGeneration,
-    /// How long items take here.
-    pace: ItemRunTime,
-    /// How long items take at all gateways, as far as is known.
-    shared_pace: ItemRunTime,
+    /// Run time of items as learned at this gateway.
+    run_time: ItemRunTime,
+    /// Run time of items as learned at all gateways, if known.
+    shared_run_time: ItemRunTime,
 }
 
 impl JobTable {
-    /// Takes a job over; nothing changes when it is here already. A doubt about every job that came after
-    /// its ownership was asked for is about it, too.
+    /// Adds a job; has no effect if the job is already present. If the ownership of all jobs was
+    /// invalidated after the job's ownership was requested, that applies to this job too.
     pub fn add(&mut self, mut job: OwnedJob) {
         job.require_generation(self.required_generation);
         self.jobs.entry(job.spec().id.clone()).or_insert(job);
     }
 
-    /// The last doubt: who asks the store now gets an answer that is good until the next one.
+    /// Current generation of ownership confirmations. The answer to a store read started now is
+    /// valid until the next invalidation.
     pub fn ownership_generation(&self) -> OwnershipGeneration {
         self.ownership_generation
     }
 
-    /// Any job may have been taken over by another gateway.
+    /// Invalidates the ownership of all jobs: any of them may have been taken over by another
+    /// gateway.
     pub fn invalidate_all_ownership(&mut self) {
         self.ownership_generation = self.ownership_generation.next();
         self.required_generation = self.ownership_generation;
@@ -68,7 +72,7 @@
         }
     }
 
-    /// This job may have been taken over by another gateway.
+    /// Invalidates the ownership of a job: it may have been taken over by another gateway.
     pub fn invalidate_ownership(&mut self, id: &str) {
         self.ownership_generation = self.ownership_generation.next();
         if let Some(job) = self.jobs.get_mut(id) {
@@ -76,7 +80,8 @@
         }
     }
 
-    /// Another gateway wrote where the job's results were to stand; false when the job isn't here.
+    /// Handles a conflicting write of another gateway at the position where the job's results were
+    /// to be stored. Returns false if the job is not present.
     pub fn displace(&mut self, id: &str, lines: Vec<Arc<ResultLine>>, now: MonoTime) -> bool {
         let Some(job) = self.jobs.get_mut(id) else { return false };
         self.ownership_generation = self.ownership_generation.next();
@@ -84,17 +89,17 @@
         true
     }
 
-    /// Drops a job that another gateway owns now, or that is closed.
+    /// Removes a job that is closed or that another gateway owns now.
     pub fn remove(&mut self, id: &str) -> Option<OwnedJob> {
         self.jobs.remove(id)
     }
 
-    /// A job.
+    /// Returns a job.
     pub fn get(&self, id: &str) -> Option<&OwnedJob> {
         self.jobs.get(id)
     }
 
-    /// A job, to be changed.
+    /// Returns a job for modification.
     pub fn get_mut(&mut self, id: &str) -> Option<&mut OwnedJob> {
         self.jobs.get_mut(id)
     }
@@ -104,66 +109,66 @@
         self.jobs.keys().cloned().collect()
     }
 
-    /// Jobs, in no order.
+    /// All jobs, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &OwnedJob> {
         self.jobs.values()
     }
 
-    /// Tokens that wait here against a limit, by its name.
+    /// Waiting tokens at this gateway that count against the limit with this name.
     pub fn waiting_tokens(&self, limit: &str) -> u64 {
         let jobs = self.jobs.values().filter(|job| job.spec().limit_name() == limit);
         jobs.fold(0, |sum, job| sum.saturating_add(job.waiting_tokens()))
     }
 
-    /// Whether no job is open.
+    /// Whether all jobs are closed.
     pub fn is_idle(&self) -> bool {
         self.jobs.values().all(OwnedJob::is_closed)
     }
 
-    /// The next item to run: of the job that is due first and has one. Items that would end late
-    /// come after all others: run in the order of their due times alone, each item of a burst that
-    /// is too large starts just too late, and nearly all end late instead of some. The item isn't
-    /// marked yet.
+    /// Selects the next item to run: one of the job with the earliest due time. Items that are
+    /// expected to end late come after all others. If items of an oversized burst were run by due
+    /// time alone, each of them would start just too late and nearly all would end late instead of
+    /// some. The item is not marked as running.
     pub fn next_item(&self, now: MonoTime) -> Option<(String, usize)> {
         let ready = self.jobs.values().filter_map(|job| Some((job, job.next_item(now)?)));
-        let pace = self.run_time();
-        let rank = |job: &OwnedJob, index| (job.is_late(index, &pace, now), job.due());
+        let run_time = self.run_time();
+        let rank = |job: &OwnedJob, index| (job.is_late(index, &run_time, now), job.due());
         let (job, index) = ready.min_by_key(|(job, index)| rank(job, *index))?;
         Some((job.spec().id.clone(), index))
     }
 
-    /// An item ran from its beginning to its end within `took`.
+    /// Records that an item ran from start to end within `took`.
     pub fn note_whole_run(&mut self, item: &ItemSpec, took: Duration) {
-        self.pace.note(took, item.answer.expected());
+        self.run_time.note(took, item.answer.expected());
     }
 
-    /// How long items take.
+    /// Expected run time of items.
     pub fn run_time(&self) -> ItemRunTime {
-        if self.shared_pace.is_known() { self.shared_pace } else { self.pace }
+        if self.shared_run_time.is_known() { self.shared_run_time } else { self.run_time }
     }
 
-    /// How long items take here, for the other gateways.
+    /// Run time of items as learned at this gateway, to be reported to the others.
     pub fn own_run_time(&self) -> ItemRunTime {
-        self.pace
+        self.run_time
     }
 
-    /// How long items take at all gateways.
-    pub fn set_shared_run_time(&mut self, pace: ItemRunTime) {
-        self.shared_pace = pace;
+    /// Sets the run time of items as learned at all gateways.
+    pub fn set_shared_run_time(&mut self, run_time: ItemRunTime) {
+        self.shared_run_time = run_time;
     }
 
-    /// How long the items of a job that comes would take one place.
+    /// Total run time of a new job's items on one slot.
     pub fn estimated_work(&self, spec: &JobSpec) -> Duration {
-        let pace = self.run_time();
-        spec.items.iter().map(|item| pace.expected_or_default(item.answer.expected())).sum()
+        let run_time = self.run_time();
+        spec.items.iter().map(|item| run_time.expected_or_default(item.answer.expected())).sum()
     }
 
-    /// What waits to be done in time, job by job, with each job's route.
+    /// Work that can still be done in time, for each open job, with the job's route.
     pub fn works(&self, now: MonoTime) -> Vec<(&str, DueWork)> {
-        let pace = self.run_time();
+        let run_time = self.run_time();
         let open = self.jobs.values().filter(|job| !job.is_closed());
         let works = open.map(|job| {
-            let work = DueWork { due: job.due(), work: job.timely_work(&pace, now) };
+            let work = DueWork { due: job.due(), work: job.timely_work(&run_time, now) };
             (job.spec().route.as_str(), work)
         });
         works.filter(|(_, work)| !work.work.is_zero()).collect()
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,18 +1,19 @@
-//! Decisions of an entry VM that relays requests straight to targets: which route, which target,
-//! what a failure means, how streams are cut into events, which jobs are accepted, what becomes of a
-//! job's items, who asks and how much each account may send, and how gateways keep a limit together.
-//! Nothing here does I/O or reads a clock.
+//! Decision logic of an entry VM that relays requests directly to targets: routing, target
+//! selection, failure classification, splitting of streams into events, job admission and
+//! scheduling, client accounts and their rate limits, and limits shared by all gateways.
+//!
+//! The crate performs no I/O and reads no clock.
 
 pub mod accounts;
 mod ewma;
-pub mod intake;
+pub mod job_admission;
 pub mod jobs;
 pub mod limits;
 pub mod routes;
 pub mod stream;
 pub mod targets;
 
-/// The types nearly every user of this crate needs.
+/// Types that nearly all users of this crate need.
 pub mod prelude {
     pub use crate::{
         accounts::{
@@ -26,18 +27,18 @@
             table::{AccountTable, CallerIdentity, may_access},
             view::{LimiterView, PeerCounts},
         },
-        intake::{
+        job_admission::{
             demand::{DueWork, WorkDemand},
             forecast::JobAdmissionForecast,
             table::JobAdmissionTable,
         },
         jobs::{
-            board::{ItemStart, JobTable},
-            doubt::OwnershipGeneration,
             owned::{HeldProgress, ItemEnd, OwnedJob},
-            pace::{ItemRunTime, ItemRunTimeStats},
+            ownership::OwnershipGeneration,
             result::{ItemState, ResultLine},
+            run_time::{ItemRunTime, ItemRunTimeStats},
             spec::{AnswerSize, ItemSpec, JobSpec, JobTerms, limit_name},
+            table::{ItemStart, JobTable},
         },
         limits::{
             count::{LimitCount, LimitCountThrottle},
--- a/crates/relay/src/targets.rs
+++ b/crates/relay/src/targets.rs
@@ -1,4 +1,5 @@
-//! Targets: what is known of them, which one a request goes to, what their failures mean.
+//! Targets: their state and load, the selection of a target for a request, and the classification
+//! of failures.
 
 pub mod choice;
 pub mod crashes;
--- a/crates/relay/tests/intake.rs
+++ b/crates/relay/tests/job_admission.rs
@@ -50,7 +50,7 @@
         works.extend(others.flat_map(|(_, works)| works.iter().copied()));
         let job = DueWork { due: self.now + DUE, work: JOB_WORK };
         let demand = WorkDemand::new(works);
-        let forecast = JobAdmissionForecast { demand: &demand, places: f64::from(PLACES) };
+        let forecast = JobAdmissionForecast { demand: &demand, slots: f64::from(PLACES) };
         match forecast.refusal(job, self.now) {
             None => {
                 self.gateways[gateway].push(job);
@@ -179,7 +179,7 @@
     #[case] is_refused: bool,
 ) {
     let demand = WorkDemand::new(waiting.to_vec());
-    let forecast = JobAdmissionForecast { demand: &demand, places };
+    let forecast = JobAdmissionForecast { demand: &demand, slots: places };
     assert_eq!(forecast.refusal(job, at(0)).is_some(), is_refused);
 }
 
@@ -205,7 +205,7 @@
             ahead <= work.due.since(at(0)) * places
         });
         let demand = WorkDemand::new(waiting);
-        let forecast = JobAdmissionForecast { demand: &demand, places: f64::from(places) };
+        let forecast = JobAdmissionForecast { demand: &demand, slots: f64::from(places) };
         let refusal = forecast.refusal(job, at(0));
         prop_assert!(!(fits && refusal.is_some()));
     }
@@ -221,7 +221,7 @@
         let merged = WorkDemand::new(demand.merged(most));
         prop_assert!(merged.works().len() <= most);
         prop_assert_eq!(merged.total(), demand.total());
-        let refused = |demand| JobAdmissionForecast { demand, places: 10.0 }.refusal(job, at(0)).is_some();
+        let refused = |demand| JobAdmissionForecast { demand, slots: 10.0 }.refusal(job, at(0)).is_some();
         prop_assert!(refused(&demand) || !refused(&merged));
     }
 }
