--- a/crates/relay/tests/crashes.rs
+++ b/crates/relay/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the targets which run them.
+//! Detection of requests that crash the targets running them.
 
 use notch_relay::prelude::*;
 use notch_types::prelude::*;
@@ -7,8 +7,8 @@
     MonoTime::from_millis(millis)
 }
 
-/// Symptom: one request takes down target after target. Sequence: it crashes each target that begins
-/// to run it, and its client sends it again. Cause: each time it was taken for a new request.
+/// Guards against a request that takes down target after target: it crashes each target that begins
+/// to run it, and its client sends it again.
 #[test]
 fn a_request_is_refused_after_its_third_target() {
     let mut table = CrashTable::default();
@@ -19,14 +19,13 @@
     assert!(table.note_interruption(culprit, "t3", at(200)));
     assert!(table.is_refused(culprit, at(300)));
     assert!(!table.is_refused(CrashTable::fingerprint("/p/1", b"good"), at(300)));
-    assert!(!table.is_refused(culprit, at(60_300)), "another version may be able to run it");
+    assert!(!table.is_refused(culprit, at(60_300)), "the refusal has expired");
 }
 
-/// Symptom: a good request is refused. Sequence: one ill target breaks off each of its answers, and
-/// the request runs elsewhere. Cause: breaks were counted, not the targets that broke it off; or they
-/// counted on after it had run.
+/// Guards against refusing a good request because one failing target interrupts each of its runs,
+/// or because interruptions still count after the request has run elsewhere.
 #[test]
-fn an_ill_target_condemns_no_request() {
+fn a_failing_target_does_not_get_requests_refused() {
     let mut table = CrashTable::default();
     let request = CrashTable::fingerprint("/p/1", b"good");
     for now in 0..10 {
@@ -37,15 +36,14 @@
     assert!(!table.note_interruption(request, "t3", at(30)));
 }
 
-/// Symptom: a gateway's memory grows all day. Sequence: many requests break off once each. Cause: what
-/// is remembered of them had no bound.
+/// Guards against unbounded memory use when many requests are interrupted once each.
 #[test]
-fn only_the_newest_are_remembered() {
+fn the_number_of_records_is_bounded() {
     let mut table = CrashTable::default();
     table.note_interruption(1, "t1", at(0));
     table.note_interruption(1, "t2", at(0));
     for other in 0..5_000 {
         table.note_interruption(other + 10, "t1", at(1));
     }
-    assert!(!table.note_interruption(1, "t3", at(2)), "the first one was forgotten");
+    assert!(!table.note_interruption(1, "t3", at(2)), "the oldest record was evicted");
 }
--- a/crates/relay/tests/jobs.rs
+++ b/crates/relay/tests/jobs.rs
@@ -1,4 +1,4 @@
-//! One job that a gateway owns.
+//! A job owned by a gateway.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,7 +12,7 @@
     OwnedJob::new(Arc::new(spec("j", 0, items)), Vec::new(), Now::at_millis(0))
 }
 
-/// A job with one item that was accepted at a time.
+/// A job with one item, accepted at the given time.
 fn named_job(id: &str, accepted_ms: u64) -> OwnedJob {
     let now = Now::at_millis(accepted_ms);
     OwnedJob::new(Arc::new(spec(id, accepted_ms, 1)), Vec::new(), now)
@@ -65,7 +65,7 @@
     job.start_item(0);
     job.add_progress(0, 2, b"a\nb");
     job.end_item(0, &ItemEnd::Preempted, at(10));
-    assert_eq!(job.next_item(at(10)), None, "it pauses after it was broken off");
+    assert_eq!(job.next_item(at(10)), None, "delayed after the preemption");
     assert_eq!(job.next_item(at(300)), Some(0));
     let (_, last) = job.start_item(0);
     assert_eq!(last, Some(2));
@@ -75,9 +75,9 @@
     assert_eq!(lines[0].output, "a\nb\nc");
 }
 
-/// Symptom: a position of a job's list holds another result than before. Sequence: a write of
-/// results gets no answer, more results come, the write is tried again with all of them, the first
-/// one takes effect late. Cause: what is tried again was not the same.
+/// Guards against different results at the same position of a job's list: a write gets no answer,
+/// more results arrive, the write is retried with all of them, and the first write takes effect
+/// late.
 #[test]
 fn results_being_stored_stay_the_same() {
     let mut job = job(3);
@@ -91,68 +91,68 @@
     assert_eq!(second.len(), 1);
 }
 
-/// Symptom: an item stands at two positions. Sequence: an owner is taken for dead, another gateway
-/// runs the job and stores a result, the first one stores its own of the same item. Cause: what
-/// was found at the position didn't replace what was held.
+/// Guards against two results of one item: an owner is wrongly considered dead, another gateway
+/// runs the job and stores a result, and the first owner then stores its own result of the same
+/// item.
 #[test]
-fn another_writers_results_come_first() {
+fn results_stored_by_another_gateway_take_precedence() {
     let mut job = job(2);
     complete(&mut job, 0, at(0));
     job.take_pending(DELAY, BYTES, at(1_000)).expect("it waited long enough");
     job.displaced(vec![line("i0")], OwnershipGeneration::default().next(), at(1_010));
     assert_eq!(job.results(), [line("i0")]);
-    assert_eq!(job.take_pending(DELAY, BYTES, at(9_000)), None, "nothing of it is left");
+    assert_eq!(job.take_pending(DELAY, BYTES, at(9_000)), None, "no result is pending");
     assert_eq!(job.next_item(at(9_000)), Some(1));
 }
 
-/// Symptom: a result that was read isn't there any more. Sequence: an owner is cut off, another gateway
-/// takes its job over; the cut heals, the former owner's write takes effect, and the new one doesn't
-/// know of it. Cause: nothing kept the former owner from writing where the list ended.
+/// Guards against the loss of a result that a client has read: an owner is partitioned and another
+/// gateway takes its job over. After the partition heals, the former owner's write takes effect at
+/// the end of the list, and the new owner does not know of it.
 #[test]
-fn a_fence_displaces_the_former_owners_results() {
+fn a_fence_blocks_the_former_owners_writes() {
     let mut job = job(2);
     complete(&mut job, 0, at(0));
     let first = job.take_pending(DELAY, BYTES, at(1_000)).expect("it waited long enough");
     let before = OwnershipGeneration::default();
     let doubt = before.next();
     job.displaced(Vec::new(), doubt, at(1_010));
-    assert_eq!(job.take_pending(DELAY, BYTES, at(60_000)), None, "it may be another's job by now");
+    assert_eq!(job.take_pending(DELAY, BYTES, at(60_000)), None, "ownership is not confirmed");
     job.confirm(before);
-    assert!(!job.is_confirmed(), "the question was asked before the fence was found");
+    assert!(!job.is_confirmed(), "requested before the fence was found");
     assert_eq!(job.take_pending(DELAY, BYTES, at(60_000)), None);
     job.confirm(doubt);
     assert!(job.is_confirmed());
     assert_eq!((job.results().len(), job.fences()), (0, 1));
-    // Should the store say that it's ours after all, the same results go after the fence.
+    // If the store confirms the ownership after all, the same results are stored after the fence.
     assert_eq!(job.take_pending(DELAY, BYTES, at(9_000)), Some(first));
     job.stored(at(9_010));
     assert_eq!((job.results().len(), job.fences()), (1, 0));
 }
 
-/// A confirmation that is under way when a doubt comes up is none, whether the doubt is about one job or about
-/// all, and also where the job isn't on the board yet.
+/// A confirmation requested before an invalidation does not count, whether the invalidation
+/// concerns one job or all jobs, and also if the job is not in the table yet.
 #[test]
-fn only_what_is_asked_after_a_doubt_confirms() {
-    let mut board = JobTable::default();
-    let asked_early = board.ownership_generation();
-    board.invalidate_all_ownership();
+fn confirmations_requested_before_an_invalidation_are_ignored() {
+    let mut jobs = JobTable::default();
+    let asked_early = jobs.ownership_generation();
+    jobs.invalidate_all_ownership();
     let mut owned = job(1);
     owned.confirm(asked_early);
-    board.add(owned);
-    let is_confirmed = |board: &JobTable| board.get("j").expect("it was added").is_confirmed();
-    assert!(!is_confirmed(&board), "it was taken while the links were down");
-    let asked = board.ownership_generation();
-    board.get_mut("j").expect("it was added").confirm(asked);
-    assert!(is_confirmed(&board));
-    board.invalidate_ownership("another job");
-    assert!(is_confirmed(&board));
-    board.invalidate_ownership("j");
-    board.get_mut("j").expect("it was added").confirm(asked);
-    assert!(!is_confirmed(&board));
+    jobs.add(owned);
+    let is_confirmed = |jobs: &JobTable| jobs.get("j").expect("the job was added").is_confirmed();
+    assert!(!is_confirmed(&jobs), "invalidated before the job was added");
+    let asked = jobs.ownership_generation();
+    jobs.get_mut("j").expect("the job was added").confirm(asked);
+    assert!(is_confirmed(&jobs));
+    jobs.invalidate_ownership("another job");
+    assert!(is_confirmed(&jobs));
+    jobs.invalidate_ownership("j");
+    jobs.get_mut("j").expect("the job was added").confirm(asked);
+    assert!(!is_confirmed(&jobs));
 }
 
 #[test]
-fn an_item_is_given_up_after_its_attempts_only() {
+fn an_item_is_given_up_after_its_last_attempt() {
     let mut job = job(1);
     job.start_item(0);
     job.end_item(0, &ItemEnd::Failed, at(0));
@@ -163,8 +163,8 @@
     assert_eq!(lines[0].state, ItemState::GivenUp);
 }
 
-/// Symptom: a job never ends. Sequence: one of its items can never be done. Cause: it was tried
-/// again and again.
+/// Guards against a job that never ends because one of its items can never succeed and is retried
+/// forever.
 #[test]
 fn an_impossible_item_ends_its_job() {
     let mut job = job(1);
@@ -175,10 +175,10 @@
     assert!(job.is_closed());
 }
 
-/// Symptom: targets go down one after the other. Sequence: an item crashes each target that runs
-/// it. Cause: it went on to the next one without a pause.
+/// Guards against an item that takes down one target after another because it crashes each target
+/// that runs it and is retried without a delay.
 #[test]
-fn an_item_that_breaks_without_an_event_waits_longer_each_time() {
+fn interruptions_without_an_event_back_off_exponentially() {
     let mut job = job(1);
     let mut now = 0;
     let mut waits = Vec::new();
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn items_are_given_up_when_their_time_is_over_not_before() {
+fn items_are_given_up_after_their_lifetime() {
     let mut job = job(1);
     job.give_up_items(false, at(60_000));
     assert!(!job.item_ended(0), "another VM's clock may be behind");
@@ -203,17 +203,17 @@
     assert!(job.item_ended(0));
 }
 
-/// Symptom: a rolling restart makes every item start again. Sequence: a gateway stops, another one
-/// takes its job over. Cause: what the runs had brought was thrown away.
+/// Guards against restarting every item in a rolling restart: a gateway stops, another one takes
+/// over its job, and the progress of the runs is lost.
 #[test]
-fn progress_is_handed_over() {
+fn progress_is_adopted_after_a_handover() {
     let mut before = job(2);
     before.start_item(1);
     before.add_progress(1, 2, b"a\nb");
     before.end_item(1, &ItemEnd::Preempted, at(0));
     let mut after = job(2);
     after.adopt_progress(before.progress());
-    assert_eq!(after.next_item(at(0)), Some(1), "the one with progress first");
+    assert_eq!(after.next_item(at(0)), Some(1), "the item with progress comes first");
     assert_eq!(after.start_item(1).1, Some(2));
 }
 
@@ -226,59 +226,62 @@
     assert_eq!(job.take_pending(DELAY, BYTES, at(9_000)), None);
 }
 
-/// Symptom: a burst of jobs larger than what the targets do in time is nearly all late. Sequence: two
-/// jobs wait, the one due first can't be done in time any more. Cause: items ran in the order of their
-/// due times alone, so each one started when it was just too late for it.
+/// Guards against a burst of jobs of which nearly all end late: with items run by due time alone,
+/// each item starts when it is just too late for it. Here two jobs wait and the one due first can
+/// no longer be done in time.
 #[test]
-fn items_that_would_be_late_let_others_pass() {
-    let mut board = JobTable::default();
-    board.add(named_job("early", 0));
-    board.add(named_job("later", 6_000));
-    let first = |board: &JobTable, now| board.next_item(at(now)).map(|(job, _)| job);
-    assert_eq!(first(&board, 17_000).as_deref(), Some("early"), "no item's time is known");
+fn late_items_run_after_others() {
+    let mut jobs = JobTable::default();
+    jobs.add(named_job("early", 0));
+    jobs.add(named_job("later", 6_000));
+    let first = |jobs: &JobTable, now| jobs.next_item(at(now)).map(|(job, _)| job);
+    assert_eq!(first(&jobs, 17_000).as_deref(), Some("early"), "no run time is known");
     let item = spec("any", 0, 1).items.remove(0);
-    board.note_whole_run(&item, Duration::from_secs(4));
-    assert_eq!(first(&board, 13_900).as_deref(), Some("early"), "in time");
-    assert_eq!(first(&board, 14_100).as_deref(), Some("later"), "the early one's would be late");
-    assert_eq!(first(&board, 20_100).as_deref(), Some("early"), "both are late");
-    assert_eq!(first(&board, 53_500).as_deref(), Some("early"), "near the end of its lifetime");
+    jobs.note_whole_run(&item, Duration::from_secs(4));
+    assert_eq!(first(&jobs, 13_900).as_deref(), Some("early"), "in time");
+    assert_eq!(
+        first(&jobs, 14_100).as_deref(),
+        Some("later"),
+        "the item of the early job would be late"
+    );
+    assert_eq!(first(&jobs, 20_100).as_deref(), Some("early"), "the items of both jobs are late");
+    assert_eq!(first(&jobs, 53_500).as_deref(), Some("early"), "its lifetime is nearly over");
 }
 
-/// Symptom: an item that only lacks its last events waits as if it were late. Sequence: it was broken
-/// off; less than an item's usual time is left. Cause: what it had done didn't count.
+/// Guards against treating a preempted item as late when only its last events are missing: less
+/// than its full run time is left, and its progress must count.
 #[test]
 fn an_item_with_progress_needs_less_time() {
     let mut job = job(2);
     job.start_item(0);
     job.add_progress(0, 2, b"a\nb");
     job.end_item(0, &ItemEnd::Preempted, at(14_000));
-    let mut pace = ItemRunTime::default();
-    pace.note(Duration::from_secs(4), 0);
-    assert!(!job.is_late(0, &pace, at(15_000)));
-    assert!(job.is_late(1, &pace, at(15_000)));
+    let mut run_time = ItemRunTime::default();
+    run_time.note(Duration::from_secs(4), 0);
+    assert!(!job.is_late(0, &run_time, at(15_000)));
+    assert!(job.is_late(1, &run_time, at(15_000)));
 }
 
-/// Symptom: a long item begins shortly before its job is due and ends late, before others that would
-/// have ended in time. Sequence: items of unlike size run. Cause: all were expected to take as long as
-/// the usual one.
+/// Guards against starting a long item shortly before its job is due, ahead of items that would
+/// still end in time, because all items are expected to take the average run time.
 #[test]
-fn an_items_time_follows_its_tokens() {
-    let mut pace = ItemRunTime::default();
-    assert_eq!(pace.expected(1_000), Duration::ZERO, "nothing is known yet");
-    pace.note(Duration::from_secs(4), 0);
-    assert_eq!(pace.expected(1_000), Duration::from_secs(4));
-    pace.note(Duration::from_secs(4), 400);
-    assert_eq!(pace.expected(800).as_millis(), 8_000);
-    assert_eq!(pace.expected(0), Duration::from_secs(4), "one that doesn't say its tokens");
+fn run_time_scales_with_tokens() {
+    let mut run_time = ItemRunTime::default();
+    assert_eq!(run_time.expected(1_000), Duration::ZERO, "no data yet");
+    run_time.note(Duration::from_secs(4), 0);
+    assert_eq!(run_time.expected(1_000), Duration::from_secs(4));
+    run_time.note(Duration::from_secs(4), 400);
+    assert_eq!(run_time.expected(800).as_millis(), 8_000);
+    assert_eq!(run_time.expected(0), Duration::from_secs(4), "the token count is unknown");
 }
 
-/// A reader gets as many results as fit, one at least, none where there is none.
+/// A reader gets as many results as fit, but at least one if there is any.
 #[test]
-fn results_fit_by_their_bytes() {
+fn results_are_limited_by_bytes() {
     let lines = [line("i0"), line("i1"), line("i2")];
     let two = lines[0].approx_bytes() + lines[1].approx_bytes();
     assert_eq!(ResultLine::fitting(&lines, two), &lines[..2]);
     assert_eq!(ResultLine::fitting(&lines, two - 1), &lines[..1]);
-    assert_eq!(ResultLine::fitting(&lines, 0), &lines[..1], "a reader must get on");
+    assert_eq!(ResultLine::fitting(&lines, 0), &lines[..1], "a reader must make progress");
     assert_eq!(ResultLine::fitting(&[], two), &[]);
 }
--- a/crates/relay/tests/limit_writes.rs
+++ b/crates/relay/tests/limit_writes.rs
@@ -1,4 +1,4 @@
-//! A limit that several gateways keep together, while writes of their shares are under way.
+//! A limit shared by several gateways while writes of their shares are in progress.
 
 mod support;
 
@@ -6,43 +6,43 @@
 use proptest::prelude::*;
 use support::{Admission, Fleet, SlowWrite};
 
-/// Symptom: the limit is exceeded, or jobs that fit wait for a slow store. Sequence: a write of shares for
-/// one job is under way; others come that fit what is held. Cause: what the write was for was used by the
-/// others too, or nothing was.
+/// Guards against exceeding the limit, and against jobs that wait for a slow store although they
+/// fit: while a write of shares for one job is in progress, other jobs may use what is held, but
+/// not the part that the write is for.
 #[test]
-fn what_is_held_is_used_while_a_write_is_under_way() {
+fn a_held_share_is_usable_during_a_write() {
     let mut fleet = Fleet::new(2, 8_000);
     assert_eq!(fleet.admit(0, 1_000, &[true; 2], true), Admission::Admitted);
     assert_eq!(fleet.stored.table.share("g-0#1").lent, 1_400);
     let holder = &mut fleet.holders[0];
     let ShareStep::Write(proposal) = holder.step(1_000, 6_900, 8_000, 2, true) else {
-        panic!("more than is held, and free");
+        panic!("expected a write: more than is held, but free");
     };
     assert_eq!(proposal.table.share("g-0#1").lent, 7_925);
     assert_eq!(holder.availability(1_000, 25, 8_000, true), ShareAvailability::Held);
     assert_eq!(
         holder.availability(1_000, 26, 8_000, true),
         ShareAvailability::Free,
-        "the write is for another"
+        "reserved for the job of the write"
     );
     assert_eq!(
         holder.availability(1_000, 7_001, 8_000, true),
         ShareAvailability::Missing(1),
-        "whatever is written"
+        "independent of the write"
     );
     holder.not_written();
     assert_eq!(holder.availability(1_000, 400, 8_000, true), ShareAvailability::Held);
 }
 
-/// Symptom: jobs that fit are asked about twice. Sequence: others give back what they don't use while a
-/// write of shares is under way; it is done. Cause: the table as it was before was taken for news.
+/// Guards against asking twice for jobs that fit: other gateways release unused shares while a
+/// write is in progress, and the completed write restores the table from before the releases.
 #[test]
-fn what_is_given_back_during_a_write_stays_so() {
+fn shares_released_during_a_write_stay_released() {
     let mut fleet = Fleet::new(2, 1_000);
     assert_eq!(fleet.admit(1, 500, &[true; 2], true), Admission::Admitted);
     let holder = &mut fleet.holders[0];
     holder.adopt(fleet.stored.table.clone(), fleet.stored.revision.unwrap_or(0));
-    let proposal = holder.top_up(0, 1_000, 2).expect("there is none yet");
+    let proposal = holder.top_up(0, 1_000, 2).expect("no share is held yet");
     fleet.used[1] = 100;
     let kept = fleet.holders[1].release_unused(fleet.used[1]);
     let holder = &mut fleet.holders[0];
@@ -56,10 +56,11 @@
 }
 
 proptest! {
-    /// Writes may take long, land after they were given up, and be answered late; jobs come, end and are
-    /// asked about meanwhile: the limit holds, and each gateway stays within its stored share.
+    /// Writes may be slow, take effect after they were abandoned, and be answered late, while jobs
+    /// arrive, end and cause requests for unused shares. The limit holds, and each gateway stays
+    /// within its stored share.
     #[test]
-    fn the_limit_holds_while_writes_are_under_way(steps in proptest::collection::vec(
+    fn the_limit_holds_during_writes(steps in proptest::collection::vec(
         (0_usize..3, 0_u8..12, 1_u64..300, any::<bool>()), 1..160,
     )) {
         let mut fleet = Fleet::new(3, 1_000);
--- a/crates/relay/tests/limits.rs
+++ b/crates/relay/tests/limits.rs
@@ -1,4 +1,4 @@
-//! A limit that several gateways keep together.
+//! A limit shared by several gateways.
 
 mod support;
 
@@ -9,18 +9,18 @@
 use proptest::prelude::*;
 use support::{Admission, Fleet};
 
-/// Symptom: more tokens wait than the limit allows. Sequence: jobs come to all gateways at once, the
-/// first ones before any gateway has heard of another's. Cause: each counts its own only.
+/// Guards against exceeding the limit when jobs arrive at all gateways at once, the first ones
+/// before any gateway knows of another's, and each gateway counts only its own.
 #[test]
 fn jobs_at_all_gateways_at_once_stay_within_the_limit() {
     let mut fleet = Fleet::new(5, 1_000);
     let all = [true; 5];
     let ends: Vec<_> = (0..20).map(|n| fleet.admit(n % 5, 100, &all, true)).collect();
     let admitted = ends.iter().filter(|end| **end == Admission::Admitted).count();
-    assert_eq!((admitted, fleet.total()), (10, 1_000), "and nothing that fits is refused");
+    assert_eq!((admitted, fleet.total()), (10, 1_000), "all jobs that fit are admitted");
 }
 
-/// Symptom: under a limit that is far from full each job costs a call to the store.
+/// Guards against a store call for each job under a limit that is far from full.
 #[test]
 fn far_below_the_limit_few_jobs_need_a_write() {
     let mut fleet = Fleet::new(5, 2_000_000);
@@ -32,8 +32,8 @@
     assert!(writes <= 10, "{writes} writes for 200 jobs");
 }
 
-/// Symptom: jobs are accepted late while the store is slow. Sequence: a limit that is far from full; each
-/// gateway's first job after its start waits for a write of shares. Cause: no share was taken ahead.
+/// Guards against jobs that are accepted late while the store is slow: under a limit that is far
+/// from full, each gateway's first job after its start must not wait for a write of shares.
 #[test]
 fn room_is_made_before_a_job_needs_it() {
     let mut fleet = Fleet::new(3, 100_000);
@@ -42,7 +42,7 @@
         if let Some(revision) = fleet.stored.revision {
             holder.adopt(fleet.stored.table.clone(), revision);
         }
-        let proposal = holder.top_up(0, 100_000, 3).expect("there is none yet");
+        let proposal = holder.top_up(0, 100_000, 3).expect("no share is held yet");
         assert!(fleet.stored.write(&proposal));
         holder.written(proposal, fleet.stored.revision.unwrap_or(0));
         assert_eq!(holder.top_up(0, 100_000, 3), None, "enough");
@@ -54,10 +54,10 @@
     assert_eq!(holder.top_up(3_000, 8_100, 3), None, "the limit is nearly used up");
 }
 
-/// Symptom: a limit that was lowered is exceeded for as long as old jobs wait. Sequence: gateways hold
-/// shares beyond their use; the limit falls far below what waits. Cause: the shares were still used.
+/// Guards against exceeding a lowered limit for as long as old jobs wait: gateways hold shares
+/// beyond their use, and the limit falls far below the waiting amount.
 #[test]
-fn a_lowered_limit_voids_what_was_lent_beyond_use() {
+fn a_lowered_limit_revokes_unused_shares() {
     let mut fleet = Fleet::new(3, 100_000);
     for at in 0..3 {
         assert_eq!(fleet.admit(at, 5_000, &[true; 3], true), Admission::Admitted);
@@ -73,8 +73,8 @@
     assert_eq!(fleet.admit(0, 40_000, &[true; 3], true), Admission::Admitted, "raised");
 }
 
-/// Symptom: after a takeover more waits than the limit allows, or jobs that fit are refused. Sequence: a
-/// gateway dies; another one takes its jobs. Cause: they were counted nowhere, or at both.
+/// Guards against exceeding the limit, or refusing jobs that fit, after a takeover: a gateway dies,
+/// another one takes its jobs over, and they must be counted exactly once.
 #[test]
 fn jobs_taken_over_are_counted_once() {
     let mut fleet = Fleet::new(3, 10_000);
@@ -85,19 +85,22 @@
     let proposal = fleet.holders[1].propose_for_takeover(fleet.used[1]);
     assert!(fleet.stored.write(&proposal));
     fleet.holders[1].written(proposal, fleet.stored.revision.unwrap_or(0));
-    assert_eq!(fleet.admit(2, 1, &links, true), Admission::Refused, "at both while it moves");
+    assert_eq!(
+        fleet.admit(2, 1, &links, true),
+        Admission::Refused,
+        "counted at both during the takeover"
+    );
     fleet.used[0] = 0;
     let proposal = fleet.holders[1].propose_after_takeover(&[("g-0#1".to_owned(), 9_500)]);
     assert!(fleet.stored.write(&proposal));
     fleet.holders[1].written(proposal, fleet.stored.revision.unwrap_or(0));
     assert_eq!(fleet.admit(2, 500, &links, true), Admission::Refused);
-    assert_eq!(fleet.admit(2, 250, &links, true), Admission::Admitted, "all but the spare");
+    assert_eq!(fleet.admit(2, 250, &links, true), Admission::Admitted, "all except the reserve");
 }
 
-/// Symptom: jobs that fit are refused for good. Sequence: a gateway dies with a share that it didn't use.
-/// Cause: nobody gave it back.
+/// Guards against refusing jobs that fit forever because a gateway died with an unused share.
 #[test]
-fn a_dead_gateways_share_lapses() {
+fn a_dead_gateways_share_is_reclaimed() {
     let at = MonoTime::from_millis;
     let patience = Duration::from_secs(5);
     let mut fleet = Fleet::new(2, 10_000);
@@ -112,11 +115,10 @@
     assert_eq!(fleet.admit(1, 9_900, &[false, true], true), Admission::Admitted);
 }
 
-/// Symptom: the limit is exceeded. Sequence: a holder gives back what it doesn't use and takes more at
-/// the same time; the asker writes the table with what was given back. Cause: the word of the giving back
-/// outlived the write that followed it.
+/// Guards against exceeding the limit when a holder releases its unused share and increases its
+/// share at the same time: the release must not be applied to the table after the increase.
 #[test]
-fn a_share_taken_meanwhile_is_not_given_back() {
+fn a_stale_release_does_not_lower_a_new_share() {
     let mut fleet = Fleet::new(2, 1_000);
     assert_eq!(fleet.admit(0, 100, &[true; 2], true), Admission::Admitted);
     let holder = &mut fleet.holders[1];
@@ -132,7 +134,7 @@
 }
 
 #[test]
-fn a_rate_fades_when_nothing_ends() {
+fn the_drain_rate_decays_when_nothing_ends() {
     let at = MonoTime::from_millis;
     let mut rate = DrainRate::default();
     for second in 0..40 {
@@ -144,8 +146,8 @@
 }
 
 proptest! {
-    /// Whatever links and calls are cut, and however jobs come, end and move: the limit holds, and
-    /// what fits is admitted where nothing is cut.
+    /// For any sequence of partitions, lost store calls, job arrivals, ends and takeovers, the
+    /// limit holds, and jobs that fit are admitted while nothing is partitioned.
     #[test]
     fn the_limit_holds(steps in proptest::collection::vec(
         (0_usize..4, 0_u8..8, 1_u64..400, any::<[bool; 4]>(), any::<bool>()), 1..120,
--- a/crates/relay/tests/routes.rs
+++ b/crates/relay/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes.
+//! Selection of a request's route.
 
 use std::time::Duration;
 
@@ -45,7 +45,7 @@
 #[case("b.example", "/x/y/1", Some("other"))]
 #[case("a.example", "/x", None)]
 #[case("c.example", "/x/1", None)]
-fn the_longest_prefix_of_the_host_wins(
+fn the_longest_matching_prefix_wins(
     #[case] host: &str,
     #[case] path: &str,
     #[case] name: Option<&str>,
@@ -58,7 +58,7 @@
 #[case(RouteKind::NonIdempotent, true, false)]
 #[case(RouteKind::Streaming, true, true)]
 #[case(RouteKind::Streaming, false, false)]
-fn only_streams_that_resume_may_repeat(
+fn only_resumable_streams_may_repeat(
     #[case] kind: RouteKind,
     #[case] resumable: bool,
     #[case] may_repeat: bool,
@@ -75,10 +75,10 @@
     assert_eq!((count("a"), count("none"), count("b")), (90, 0, 10));
 }
 
-/// Symptom: a gateway's memory grows for months. Sequence: each change of the configuration drops the route
-/// that the one before added. Cause: what was known of a route was kept for good.
+/// Guards against a gateway's memory growing for months: each configuration change removes the
+/// route that the change before added, and the state of a removed route must not be kept forever.
 #[test]
-fn dropped_routes_are_forgotten_after_a_while() {
+fn state_of_removed_routes_is_dropped() {
     let mut dropped = DroppedRoutes::default();
     let mut known = Vec::new();
     for change in 0..5_000_u64 {
@@ -92,17 +92,17 @@
 }
 
 #[test]
-fn a_route_that_comes_back_soon_is_kept() {
+fn state_of_a_restored_route_is_kept() {
     let mut dropped = DroppedRoutes::default();
     let known = || vec!["r1".to_owned()];
     for second in [0, 60, 125, 185, 244] {
-        // It is named again at second 125, and no longer after that.
+        // The route is in the configuration again at second 125, but not later.
         let is_named = |_: &str| second == 125;
         let now = MonoTime::from_millis(second * 1_000);
         assert!(dropped.due(known(), is_named, now).is_empty(), "at {second} s");
     }
     let now = MonoTime::from_millis(305_000);
     assert_eq!(dropped.due(known(), |_| false, now), ["r1"]);
-    assert!(dropped.due(Vec::new(), |_| false, now).is_empty(), "nothing is known of it any more");
-    assert!(dropped.due(known(), |_| false, now).is_empty(), "it begins anew");
+    assert!(dropped.due(Vec::new(), |_| false, now).is_empty(), "no state is left");
+    assert!(dropped.due(known(), |_| false, now).is_empty(), "the retention starts again");
 }
--- a/crates/relay/tests/places.rs
+++ b/crates/relay/tests/slots.rs
@@ -1,4 +1,4 @@
-//! Places that a target's home grants to other gateways.
+//! Slots that the home gateway of a target grants to other gateways.
 
 use std::{sync::LazyLock, time::Duration};
 
@@ -37,7 +37,7 @@
     (name.to_owned(), domain.to_owned())
 }
 
-/// What `own` knows of two targets, the first at home at g1, the second at g2.
+/// The table of `own` with two targets whose home gateways are g1 and g2, in this order.
 fn table_of(own: &str) -> TargetTable {
     let mut table = TargetTable::new("a");
     table.put(entry("t1", "a"), NOW);
@@ -59,70 +59,75 @@
     table.take_report(&VmName::new(peer), uses.into_iter().collect(), NOW);
 }
 
-// Guards against more grants than places, as of reports that are a tenth of a second old.
+// Guards against granting more slots than there are because reports are a tenth of a second old.
 #[test]
-fn a_home_grants_each_of_its_places_once() {
+fn a_home_gateway_grants_each_slot_once() {
     let mut home = table_of("g1");
     for peer in ["g2", "g3", "g2", "g3"] {
         assert_eq!(grant(&mut home, peer, false), free_place("t1"));
     }
-    assert_eq!(grant(&mut home, "g2", true), None, "no item yields");
-    assert_eq!(home.pick_own(&online(), NOW, || 0.0), None, "nor is a place left here");
+    assert_eq!(grant(&mut home, "g2", true), None, "there is no item to preempt");
+    assert_eq!(
+        home.pick_own(&online(), NOW, || 0.0),
+        None,
+        "no slot is left for this gateway either"
+    );
     home.note_peer_use(&VmName::new("g3"), "t1", WorkKind::Online, UseChange::End, NOW);
     assert_eq!(grant(&mut home, "g2", false), free_place("t1"));
 }
 
-// Guards against a granted place that is counted twice, or not any more, after a report.
+// Guards against counting a granted slot twice, or no longer, after a report.
 #[test]
-fn a_report_tells_the_same_as_the_grants_before_it() {
+fn a_report_replaces_the_grants_before_it() {
     let mut home = table_of("g1");
-    grant(&mut home, "g2", false).expect("places are free");
-    grant(&mut home, "g2", false).expect("places are free");
+    grant(&mut home, "g2", false).expect("slots are free");
+    grant(&mut home, "g2", false).expect("slots are free");
     report(&mut home, "g2", "t1", 2, 0);
     assert_eq!(grant(&mut home, "g2", false), free_place("t1"));
     assert_eq!(grant(&mut home, "g2", false), free_place("t1"));
     assert_eq!(grant(&mut home, "g2", false), None);
 }
 
-// Guards against an end that is told for a place nobody counted.
+// Guards against an end reported for a slot that was not counted.
 #[test]
-fn an_end_without_a_beginning_frees_nobody_elses_place() {
+fn an_end_without_a_begin_frees_no_slot() {
     let mut home = table_of("g1");
     report(&mut home, "g2", "t1", 4, 0);
     home.note_peer_use(&VmName::new("g3"), "t1", WorkKind::Online, UseChange::End, NOW);
     assert_eq!(grant(&mut home, "g3", false), None);
 }
 
-// Guards against online requests that wait behind items while these could yield.
+// Guards against online requests that wait behind items although these can be preempted.
 #[test]
-fn an_item_yields_its_place_only_to_who_may_displace() {
+fn items_are_preempted_only_with_may_displace() {
     let mut home = table_of("g1");
-    home.choose(&query(WorkKind::Batch, QueueLimit::Any), NOW, || 0.0).expect("a place is free");
+    home.choose(&query(WorkKind::Batch, QueueLimit::Any), NOW, || 0.0).expect("a slot is free");
     report(&mut home, "g2", "t1", 3, 0);
     assert_eq!(grant(&mut home, "g3", false), None);
     let yielded = SlotGrant { id: "t1".to_owned(), preempted: Some(PreemptedItem::Own) };
     assert_eq!(grant(&mut home, "g3", true), Some(yielded));
-    assert_eq!(grant(&mut home, "g3", true), None, "one item yields once");
+    assert_eq!(grant(&mut home, "g3", true), None, "an item is preempted only once");
 }
 
-// Guards against items of other gateways that hold places through a crest.
+// Guards against items of other gateways that keep slots through a peak.
 #[test]
-fn an_item_of_another_gateway_yields_where_there_is_none_here() {
+fn a_peers_item_is_preempted_if_there_is_no_own_item() {
     let mut home = table_of("g1");
     report(&mut home, "g2", "t1", 1, 1);
     report(&mut home, "g3", "t1", 0, 2);
     let preempted = |grant: Option<SlotGrant>| grant.and_then(|grant| grant.preempted);
     let of = |peer: &str| Some(PreemptedItem::Peer(VmName::new(peer)));
-    assert_eq!(preempted(grant(&mut home, "g4", true)), of("g3"), "it has most items there");
-    let (_, own) = home.pick_preemptible(&online(), NOW).expect("items yield to own requests, too");
+    assert_eq!(preempted(grant(&mut home, "g4", true)), of("g3"), "g3 has the most items there");
+    let (_, own) =
+        home.pick_preemptible(&online(), NOW).expect("items are preempted for own requests too");
     assert!([of("g2"), of("g3")].contains(&Some(own)));
 }
 
-// Guards against grants at targets that another gateway counts, or that can't run the request.
+// Guards against grants at targets that belong to another home gateway or cannot run the request.
 #[rstest]
 #[case::not_home("g2")]
 #[case::unknown_gateway("g9")]
-fn only_the_home_grants(#[case] own: &str) {
+fn only_the_home_gateway_grants(#[case] own: &str) {
     let mut table = table_of(own);
     table.remove("t2");
     assert_eq!(grant(&mut table, "g3", true), None);
@@ -131,18 +136,19 @@
 #[test]
 fn a_leaving_or_failed_target_is_not_granted() {
     let mut home = table_of("g1");
-    let choice = home.choose(&online(), NOW, || 0.0).expect("a place is free");
+    let choice = home.choose(&online(), NOW, || 0.0).expect("a slot is free");
     let failure = Some(Err(AttemptFailure::CutAnswer));
     home.finish(&choice.id, WorkKind::Online, failure, NOW);
-    assert_eq!(grant(&mut home, "g2", false), None, "it has just failed");
+    assert_eq!(grant(&mut home, "g2", false), None, "the target has just failed");
     let mut home = table_of("g1");
     home.put(TargetEntry { state: TargetState::Draining, ..entry("t1", "a") }, NOW);
-    assert_eq!(grant(&mut home, "g2", false), None, "it leaves");
+    assert_eq!(grant(&mut home, "g2", false), None, "the target is draining");
 }
 
-// Guards against asks that are known to be in vain, and against asking itself.
+// Guards against asking a gateway that is known to have no slot, and against a gateway asking
+// itself.
 #[test]
-fn a_home_that_has_places_is_asked_until_it_denies() {
+fn a_home_gateway_is_asked_until_it_denies() {
     let mut table = table_of("g1");
     let ask = |table: &TargetTable, may_displace, now| {
         table.home_to_ask(&online(), may_displace, now, || 0.0)
@@ -153,15 +159,15 @@
     assert_eq!(ask(&table, true, NOW), None);
     assert_eq!(ask(&table, false, later), Some(VmName::new("g2")));
     report(&mut table, "g2", "t2", SLOTS, 0);
-    assert_eq!(ask(&table, false, later), None, "full as far as is known");
-    assert_eq!(ask(&table, true, later), Some(VmName::new("g2")), "an item may yield");
+    assert_eq!(ask(&table, false, later), None, "the target is known to be full");
+    assert_eq!(ask(&table, true, later), Some(VmName::new("g2")), "an item may be preempted");
 }
 
 #[rstest]
 #[case::shorter(1, 2, true)]
 #[case::as_long(2, 2, false)]
 #[case::too_late(3, 9, false)]
-fn an_offered_queue_is_taken_where_it_is_shorter_and_in_time(
+fn an_offered_queue_is_used_if_shorter_and_in_time(
     #[case] offered: u32,
     #[case] own: u32,
     #[case] taken: bool,
@@ -188,7 +194,7 @@
     ids
 }
 
-// Guards against a gateway that leaves and takes the counts of all other targets with it.
+// Guards against reassigning many targets, with the loss of their counts, when one gateway leaves.
 #[test]
 fn few_targets_change_their_home_when_a_gateway_leaves() {
     let all: Vec<_> = (0..6).map(|n| pair(&format!("g{n}"), "a")).collect();
@@ -197,7 +203,7 @@
     for (name, _) in left {
         let before = homes(name, 60, &all);
         let after = homes(name, 60, left);
-        assert!(before.len() <= 10 && after.len() <= 12, "no home has more than its part");
+        assert!(before.len() <= 10 && after.len() <= 12, "no gateway exceeds its equal part");
         moved += before.iter().filter(|id| !after.contains(id)).count();
     }
     assert!(moved <= 12, "{moved} of 50 moved between gateways that stay");
@@ -210,50 +216,50 @@
     assert_eq!(shared, 10);
 }
 
-/// What may happen at a home.
+/// Event at a home gateway.
 #[derive(Debug, Clone, Copy)]
-enum HomeStep {
+enum HomeEvent {
     Ask(u8),
     End(u8),
     Report(u8),
     Own,
 }
 
-fn any_step() -> impl Strategy<Value = HomeStep> {
+fn any_event() -> impl Strategy<Value = HomeEvent> {
     prop_oneof![
-        (0..3_u8).prop_map(HomeStep::Ask),
-        (0..3_u8).prop_map(HomeStep::End),
-        (0..3_u8).prop_map(HomeStep::Report),
-        Just(HomeStep::Own),
+        (0..3_u8).prop_map(HomeEvent::Ask),
+        (0..3_u8).prop_map(HomeEvent::End),
+        (0..3_u8).prop_map(HomeEvent::Report),
+        Just(HomeEvent::Own),
     ]
 }
 
 proptest! {
-    // Guards against counts that drift from what runs.
+    // Guards against counts that drift from the actual number of requests.
     #[test]
-    fn a_home_never_has_more_requests_than_places(
-        steps in proptest::collection::vec(any_step(), 0..80)
+    fn a_home_gateway_never_overcommits_its_slots(
+        steps in proptest::collection::vec(any_event(), 0..80)
     ) {
         let mut home = table_of("g1");
         let (mut running, mut own) = ([0_u32; 3], 0);
         for step in steps {
             match step {
-                HomeStep::Ask(peer) => {
+                HomeEvent::Ask(peer) => {
                     let free = running.iter().sum::<u32>() + own < SLOTS;
                     let granted = grant(&mut home, &format!("p{peer}"), false);
                     prop_assert_eq!(granted.is_some(), free);
                     running[peer as usize] += u32::from(free);
                 }
-                HomeStep::End(peer) if running[peer as usize] > 0 => {
+                HomeEvent::End(peer) if running[peer as usize] > 0 => {
                     let vm = VmName::new(&format!("p{peer}"));
                     home.note_peer_use(&vm, "t1", WorkKind::Online, UseChange::End, NOW);
                     running[peer as usize] -= 1;
                 }
-                HomeStep::End(_) => {}
-                HomeStep::Report(peer) => {
+                HomeEvent::End(_) => {}
+                HomeEvent::Report(peer) => {
                     report(&mut home, &format!("p{peer}"), "t1", running[peer as usize], 0);
                 }
-                HomeStep::Own => {
+                HomeEvent::Own => {
                     let free = running.iter().sum::<u32>() + own < SLOTS;
                     let choice = home.pick_own(&online(), NOW, || 0.5);
                     prop_assert_eq!(choice.is_some(), free);
--- a/crates/relay/tests/stream.rs
+++ b/crates/relay/tests/stream.rs
@@ -1,4 +1,4 @@
-//! Cutting a stream into whole events.
+//! Splitting of a stream into complete events.
 
 use notch_relay::prelude::*;
 use proptest::prelude::*;
@@ -8,11 +8,10 @@
     format!("id: {id}\ndata: piece {id}\n\n").into_bytes()
 }
 
-/// Symptom: a client's stream holds half an event twice. Sequence: a target breaks off in the
-/// middle of an event, the stream goes on at another target with that whole event. Cause: bytes of
-/// an unfinished event had been passed on.
+/// Guards against half an event appearing twice in a client's stream: a target fails in the middle
+/// of an event, and the stream is resumed at another target with the whole event.
 #[test]
-fn an_unfinished_event_never_leaves() {
+fn a_partial_event_is_never_returned() {
     let mut splitter = EventSplitter::default();
     splitter.push(&event(1));
     splitter.push(&event(2)[..7]);
@@ -22,13 +21,13 @@
     assert_eq!(splitter.last_id(), Some(1));
 }
 
-/// Symptom: a stream with a piece missing or twice. Sequence: a target sends spoiled bytes, or a
-/// resumed one begins at another event. Cause: ids were not compared.
+/// Guards against a missing or repeated event: a target sends corrupted bytes, or resumes a stream
+/// at the wrong event.
 #[rstest]
 #[case::repeated(2, 2)]
 #[case::skipped(2, 4)]
 #[case::from_the_start(2, 1)]
-fn ids_must_follow(#[case] last: u64, #[case] next: u64) {
+fn event_ids_must_be_consecutive(#[case] last: u64, #[case] next: u64) {
     let mut splitter = EventSplitter::after(Some(last));
     splitter.push(&event(next));
     assert_eq!(splitter.next_event(), Err(EventFault::OutOfOrder));
@@ -37,7 +36,7 @@
 #[rstest]
 #[case(b"data: no id\n\n".as_slice(), EventFault::NoId)]
 #[case(b"id: x\ndata: a\n\n".as_slice(), EventFault::NoId)]
-fn events_need_a_number(#[case] bytes: &[u8], #[case] fault: EventFault) {
+fn events_need_a_numeric_id(#[case] bytes: &[u8], #[case] fault: EventFault) {
     let mut splitter = EventSplitter::default();
     splitter.push(bytes);
     assert_eq!(splitter.next_event(), Err(fault));
@@ -50,9 +49,9 @@
 }
 
 proptest! {
-    /// However the bytes are cut on the way, the same events come out.
+    /// The same events result however the bytes are split in transit.
     #[test]
-    fn cuts_do_not_matter(count in 1_u64..20, cuts in proptest::collection::vec(1_usize..40, 1..60)) {
+    fn events_are_independent_of_chunk_boundaries(count in 1_u64..20, cuts in proptest::collection::vec(1_usize..40, 1..60)) {
         let all: Vec<u8> = (1..=count).flat_map(event).collect();
         let mut splitter = EventSplitter::default();
         let mut rest = all.as_slice();
--- a/crates/relay/tests/support/mod.rs
+++ b/crates/relay/tests/support/mod.rs
@@ -1,10 +1,10 @@
-//! Gateways that keep a limit together, and the object in which they do.
+//! Simulated gateways that share a limit, and the stored object with their shares.
 
-#![allow(dead_code, unreachable_pub, reason = "each test program uses a part of it")]
+#![allow(dead_code, unreachable_pub, reason = "each test binary uses a part of it")]
 
 use notch_relay::prelude::*;
 
-/// Stands for the stored object: takes a write under the condition of its revision.
+/// Simulates the stored object, which accepts writes conditional on its revision.
 #[derive(Debug, Default)]
 pub struct StoredTable {
     pub revision: Option<u64>,
@@ -22,7 +22,7 @@
     }
 }
 
-/// Gateways with what each uses.
+/// Gateways with the amount that each of them uses.
 pub struct Fleet {
     pub stored: StoredTable,
     pub holders: Vec<ShareHolder>,
@@ -30,12 +30,12 @@
     pub limit: u64,
 }
 
-/// How an attempt to use more ended.
+/// Result of an attempt to use more of the limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
     Admitted,
     Refused,
-    /// The store can't be reached.
+    /// The store could not be reached.
     Unsure,
 }
 
@@ -49,8 +49,8 @@
         self.used.iter().sum()
     }
 
-    /// What a gateway does when a job comes. `links` tells which gateways it hears; `has_store`
-    /// whether it reaches the store.
+    /// Simulates the arrival of a job at a gateway. `links` tells which gateways it hears from,
+    /// `has_store` whether it reaches the store.
     pub fn admit(&mut self, at: usize, amount: u64, links: &[bool], has_store: bool) -> Admission {
         let in_touch = links.iter().enumerate().all(|(n, link)| *link || n == at);
         let mut has_asked = false;
@@ -94,16 +94,16 @@
     }
 }
 
-/// A write of shares that is under way.
+/// A write of shares that is in progress.
 pub struct SlowWrite {
     pub proposal: ShareProposal,
-    /// What it is for.
+    /// Amount that the write is for.
     pub amount: u64,
-    /// Whether the store took it, once it came there.
+    /// Whether the store accepted the write; `None` until the write has reached it.
     pub done: Option<bool>,
 }
 
-/// What is done apart while writes take long.
+/// Single steps, for tests with slow writes.
 impl Fleet {
     pub fn use_held(&mut self, at: usize, amount: u64, in_touch: bool) {
         let room = self.holders[at].availability(self.used[at], amount, self.limit, in_touch);
@@ -125,7 +125,7 @@
         }
     }
 
-    /// The answer to a write comes.
+    /// Delivers the answer to a write.
     pub fn end_write(&mut self, at: usize, write: SlowWrite) {
         let revision = write.proposal.revision.unwrap_or(0) + 1;
         let is_done = write.done.unwrap_or_else(|| self.stored.write(&write.proposal));
--- a/crates/relay/tests/targets.rs
+++ b/crates/relay/tests/targets.rs
@@ -1,4 +1,4 @@
-//! Which target a request goes to.
+//! Selection of the target for a request.
 
 use std::{sync::LazyLock, time::Duration};
 
@@ -20,7 +20,7 @@
     }
 }
 
-/// What is chosen for: work without a word about its prompt.
+/// A query for a request without information on its prompt.
 fn query(work: WorkKind, avoid: &[String]) -> TargetQuery<'_> {
     static NO_PROMPT: LazyLock<PromptPrefixes> = LazyLock::new(PromptPrefixes::default);
     TargetQuery { service: "llm", work, avoid, queue: QueueLimit::Any, prompt: &NO_PROMPT }
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn online_takes_the_least_loaded() {
+fn online_requests_use_the_least_loaded_target() {
     let mut table = table(&["t1", "t2"]);
     let now = MonoTime::from_millis(1);
     let uses = [("t1".to_owned(), TargetUse { online: 2, batch: 0 })];
@@ -48,12 +48,12 @@
     assert_eq!(online(&mut table, now).as_deref(), Some("t2"));
 }
 
-/// Symptom: requests reach a target seconds after it said that it leaves. Sequence: its entry turns
-/// to draining, or is removed, while others are full. Cause: it stayed eligible.
+/// Guards against sending requests to a target after it announced that it leaves: its entry changes
+/// to draining or is removed while the other targets are full.
 #[rstest]
 #[case::draining(true)]
 #[case::removed(false)]
-fn a_leaving_target_gets_nothing_new(#[case] draining: bool) {
+fn a_leaving_target_gets_no_new_requests(#[case] draining: bool) {
     let mut table = table(&["t1"]);
     if draining {
         table.put(entry("t1", TargetState::Draining), MonoTime::default());
@@ -63,10 +63,10 @@
     assert_eq!(online(&mut table, MonoTime::default()), None);
 }
 
-/// Symptom: a request runs at another service. Sequence: a target ends, its address goes to
-/// another one, which answers that it isn't the one named. Cause: the entry stayed in use.
+/// Guards against running a request at another service: a target ends and its address is reused by
+/// another one, which answers that it is not the target named in the request.
 #[test]
-fn a_displaced_target_waits_for_its_entry() {
+fn a_target_with_a_reused_address_waits_for_its_entry() {
     let mut table = table(&["t1"]);
     let now = MonoTime::from_millis(1);
     online(&mut table, now).expect("a target is free");
@@ -76,10 +76,10 @@
     assert_eq!(online(&mut table, now).as_deref(), Some("t1"));
 }
 
-/// Symptom: each request to an ill target loses its time. Sequence: a target cuts answers, requests
-/// keep choosing it because none of them stays there. Cause: failures were not remembered.
+/// Guards against each request to a failing target losing time: the target truncates answers, and
+/// its low load attracts further requests.
 #[test]
-fn a_failed_target_is_avoided_and_probed_by_one() {
+fn a_failed_target_is_avoided_and_probed_by_one_request() {
     let mut table = table(&["t1", "t2"]);
     let start = MonoTime::from_millis(1_000);
     let first = online(&mut table, start).expect("a target is free");
@@ -89,16 +89,16 @@
         assert_ne!(
             online(&mut table, start).as_ref(),
             Some(&first),
-            "avoided while others are free"
+            "avoided while other targets are free"
         );
     }
     let later = start + Duration::from_millis(400);
-    assert_eq!(online(&mut table, later).as_ref(), Some(&first), "one probe");
-    assert_ne!(online(&mut table, later).as_ref(), Some(&first), "the probe goes alone");
+    assert_eq!(online(&mut table, later).as_ref(), Some(&first), "a single probe");
+    assert_ne!(online(&mut table, later).as_ref(), Some(&first), "only one request probes");
 }
 
-/// Symptom: a dark target takes a request every second. Sequence: a target goes silent, a real request
-/// is sent to find out whether it is back. Cause: nothing cheaper was tried first.
+/// Guards against losing a request every second to an unreachable target because real requests are
+/// used to find out whether it is back.
 #[test]
 fn a_silent_target_must_answer_a_probe_first() {
     let mut table = table(&["t1", "t2"]);
@@ -106,31 +106,35 @@
     let first = online(&mut table, start).expect("a target is free");
     let failure = Some(Err(AttemptFailure::SilentBeforeAnswer));
     table.finish(&first, WorkKind::Online, failure, start);
-    assert_eq!(table.silent_targets(start), [], "not at once");
+    assert_eq!(table.silent_targets(start), [], "not immediately");
     let later = start + Duration::from_millis(400);
     assert_eq!(table.silent_targets(later).len(), 1);
-    assert_ne!(online(&mut table, later).as_ref(), Some(&first), "no request before it answers");
+    assert_ne!(
+        online(&mut table, later).as_ref(),
+        Some(&first),
+        "no request before the probe is answered"
+    );
     table.note_silence(&first, later);
     assert_eq!(table.silent_targets(later), [], "the next probe comes later");
     let back = later + Duration::from_millis(2_000);
     table.note_liveness(&first);
-    assert_eq!(online(&mut table, back).as_ref(), Some(&first), "one request finds out the rest");
-    assert_ne!(online(&mut table, back).as_ref(), Some(&first), "it goes alone");
+    assert_eq!(online(&mut table, back).as_ref(), Some(&first), "a single request probes further");
+    assert_ne!(online(&mut table, back).as_ref(), Some(&first), "only one request probes");
 }
 
-// Guards against items that queue, and against places that stay idle while items wait: at an own target an
-// item yields at once, so none is kept free of them.
+// Guards against items that queue, and against slots left idle while items wait: an item at an own
+// target is preempted immediately, so no slot has to be kept free.
 #[test]
-fn batch_takes_every_own_place_and_fills_no_queue() {
+fn batch_fills_own_slots_without_queueing() {
     let mut table = table(&["t1"]);
     let now = MonoTime::default();
     let mut batch = || table.choose(&query(WorkKind::Batch, &[]), now, || 0.0).is_some();
     assert_eq!([batch(), batch(), batch(), batch(), batch()], [true, true, true, true, false]);
 }
 
-// Guards against items in the last places of a target whose load is known late.
+// Guards against items in the last slots of a target whose load is known late.
 #[test]
-fn batch_leaves_three_places_free_at_another_gateways_target() {
+fn batch_leaves_three_slots_free_at_a_remote_target() {
     let mut table = table(&["t1"]);
     table.assign_homes(
         "g2",
@@ -141,25 +145,24 @@
     assert_eq!([batch(), batch()], [true, false]);
 }
 
-/// Symptom: items are broken off by the thousand and none gets on. Sequence: one online request
-/// waits at a target; every gateway with an item there sees it and breaks one off. Cause: each
-/// counted for itself what only one of them had to give.
+/// Guards against preempting items by the thousand so that none makes progress: one online request
+/// waits at a target, and every gateway with an item there preempts one of its own.
 #[test]
-fn gateways_share_what_is_to_be_broken_off() {
+fn gateways_share_the_items_to_preempt() {
     let mut table = table(&["t1"]);
     let now = MonoTime::default();
     for _ in 0..2 {
-        table.choose(&query(WorkKind::Batch, &[]), now, || 0.0).expect("places are free");
+        table.choose(&query(WorkKind::Batch, &[]), now, || 0.0).expect("slots are free");
     }
     let uses = [("t1".to_owned(), TargetUse { online: 2, batch: 2 })];
     table.take_report(&VmName::new("peer"), uses.into_iter().collect(), now);
-    // Six requests at four places: two wait, half of the four items are ours.
+    // Six requests at four slots: two wait, and half of the four items belong to this gateway.
     assert_eq!(table.items_to_preempt("t1", || 0.0), 1);
     assert_eq!(table.items_to_preempt("t1", || 0.99), 1);
 }
 
 #[test]
-fn every_target_is_at_home_at_one_gateway_of_its_domain() {
+fn every_target_has_one_home_gateway_in_its_domain() {
     let ids: Vec<String> = (0..10).map(|n| format!("t{n}")).collect();
     let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
     let pair = |name: &str, domain: &str| (name.to_owned(), domain.to_owned());
@@ -179,8 +182,8 @@
     assert_eq!(homes.len(), ids.len(), "g1 and g2 share all ten, g3 is in another domain");
 }
 
-/// Symptom: a job is left lying while its targets are well again. Sequence: a run breaks off at every
-/// target, no online request comes. Cause: items waited for an online request to clear the target.
+/// Guards against a job that is not continued although its targets have recovered: runs failed at
+/// every target, and without online requests nothing else probes the targets.
 #[test]
 fn an_item_probes_a_failed_target() {
     let mut table = table(&["t1"]);
@@ -205,8 +208,8 @@
     assert_eq!(online(&mut table, later).as_deref(), Some("t1"));
 }
 
-/// Symptom: a client is told "not run" and the request runs. Sequence: a request that can't be
-/// repeated is sent, the connection is reset. Cause: the reset was taken for a refusal.
+/// Guards against reporting "not run" to a client although the request runs: a non-repeatable
+/// request is sent, and the connection reset is mistaken for a refusal.
 #[rstest]
 #[case(AttemptFailure::ConnectFailed, RunVerdict::NotRun)]
 #[case(AttemptFailure::RefusedNotRun, RunVerdict::NotRun)]
@@ -218,15 +221,14 @@
 #[case(AttemptFailure::StalledAnswer, RunVerdict::Unknown)]
 #[case(AttemptFailure::TargetError, RunVerdict::Unknown)]
 #[case(AttemptFailure::TargetRestarted, RunVerdict::Unknown)]
-fn only_proof_counts_as_not_run(#[case] failure: AttemptFailure, #[case] verdict: RunVerdict) {
+fn only_proven_failures_are_not_run(#[case] failure: AttemptFailure, #[case] verdict: RunVerdict) {
     assert_eq!(failure.verdict(), verdict);
 }
 
-/// Symptom: a target that is back stays avoided or counts as full. Sequence: requests are under way at a
-/// target that went dark, some failed, another gateway reported more there; it starts again under its
-/// name. Cause: all of that was held against the new start.
+/// Guards against avoiding a restarted target or counting it as full: failures, requests in
+/// progress and reports of other gateways belong to the incarnation before the restart.
 #[test]
-fn a_target_that_started_again_begins_anew() {
+fn a_restarted_target_starts_without_history() {
     let now = MonoTime::from_millis(1);
     let started = |born| TargetEntry {
         id: TargetEntry::start_id("t1", born),
@@ -235,44 +237,52 @@
     };
     let mut table = TargetTable::new("a");
     table.put(started(1_000), now);
-    let first = online(&mut table, now).expect("places");
-    let second = online(&mut table, now).expect("places");
+    let first = online(&mut table, now).expect("a slot is free");
+    let second = online(&mut table, now).expect("a slot is free");
     table.finish(&second, WorkKind::Online, Some(Err(AttemptFailure::OtherTarget)), now);
     let uses = [(first.clone(), TargetUse { online: 4, batch: 0 })].into_iter().collect();
     table.take_report(&VmName::new("g-2"), uses, now);
-    assert_eq!(online(&mut table, now), None, "displaced and full");
+    assert_eq!(
+        online(&mut table, now),
+        None,
+        "its address is reused, and the other slots are full"
+    );
     assert!(!table.has_restarted(&first));
     table.remove_restarted(&first);
     table.put(started(2_000), now);
-    assert!(table.has_restarted(&first), "what is under way there is over");
-    let choice = table.choose(&query(WorkKind::Online, &[]), now, || 0.0).expect("places");
+    assert!(table.has_restarted(&first), "requests in progress there have ended");
+    let choice = table.choose(&query(WorkKind::Online, &[]), now, || 0.0).expect("a slot is free");
     assert_eq!((choice.id.as_str(), choice.name.as_str()), ("t1#2000", "t1"));
     assert_eq!((choice.own_load, choice.reported_load), (0, 0));
     assert_eq!(table.own_uses().map(|(id, _)| id).collect::<Vec<_>>(), ["t1#2000"]);
     table.finish(&first, WorkKind::Online, Some(Err(AttemptFailure::TargetRestarted)), now);
-    assert!(!table.has_restarted(&first), "nothing is left of it");
+    assert!(!table.has_restarted(&first), "its last request has ended");
 }
 
-/// Symptom: requests to a target that has just started come late while others have places. Sequence:
-/// it registers as slow for a while. Cause: it was chosen as if it were as quick as the others.
+/// Guards against late answers from a target that has just started and registered as slow, while
+/// other targets have free slots.
 #[test]
-fn a_cold_target_is_chosen_when_others_are_fuller() {
+fn a_cold_target_is_selected_when_others_are_fuller() {
     let mut table = table(&["t1"]);
     let now = MonoTime::from_millis(1);
     let cold = TargetEntry { cold_left: Duration::from_secs(5), ..entry("t2", TargetState::Ready) };
     table.put(cold, now);
-    let picks: Vec<_> = (0..4).map(|_| online(&mut table, now).expect("places")).collect();
-    assert_eq!(picks.iter().filter(|id| *id == "t1").count(), 3, "{picks:?}");
-    assert_eq!(online(&mut table, now).as_deref(), Some("t2"), "never left idle beside a full one");
+    let selected: Vec<_> =
+        (0..4).map(|_| online(&mut table, now).expect("a slot is free")).collect();
+    assert_eq!(selected.iter().filter(|id| *id == "t1").count(), 3, "{selected:?}");
+    assert_eq!(
+        online(&mut table, now).as_deref(),
+        Some("t2"),
+        "not left idle when the other target is full"
+    );
     let warm = MonoTime::from_millis(5_100);
-    assert_eq!(online(&mut table, warm).as_deref(), Some("t2"), "then it counts like the others");
+    assert_eq!(online(&mut table, warm).as_deref(), Some("t2"), "no penalty when warm");
 }
 
-/// Symptom: a stream is cut by its target's end. Sequence: the target closes its connections after
-/// each answer, as one that is about to leave does; its entry comes later. Cause: new requests went
-/// there all the same.
+/// Guards against streams interrupted by the end of their target: the target closes its connections
+/// after each answer, as one that is about to leave does, before its entry changes.
 #[test]
-fn a_target_that_closes_connections_is_avoided_for_a_moment() {
+fn a_target_that_closes_connections_is_avoided_briefly() {
     let mut table = table(&["t1", "t2"]);
     let now = MonoTime::from_millis(1);
     table.note_closing("t1", now);
@@ -282,22 +292,22 @@
     assert_eq!(online(&mut table, later).as_deref(), Some("t1"));
 }
 
-/// Symptom: a long prompt is read again by target after target. Sequence: requests that share its
-/// beginning come one after another. Cause: each went wherever the load happened to be least.
+/// Guards against processing a long prompt at target after target when requests that share its
+/// prefix arrive one after another.
 #[rstest]
 #[case::long(9_000, true)]
 #[case::short(60, false)]
-fn a_target_that_has_read_the_prompt_is_nearer(#[case] tokens: u32, #[case] follows: bool) {
+fn a_target_with_a_cached_prefix_is_preferred(#[case] tokens: u32, #[case] is_preferred: bool) {
     let mut table = table(&["t1", "t2"]);
     let now = MonoTime::from_millis(1);
     let prompt = |own| PromptPrefixes::of_parts("m", [("shared", tokens), (own, 5)]);
     let mut choose = |prompt: &PromptPrefixes| {
         let query = TargetQuery { prompt, ..query(WorkKind::Online, &[]) };
-        let choice = table.choose(&query, now, || 0.0).expect("places");
+        let choice = table.choose(&query, now, || 0.0).expect("a slot is free");
         choice.id
     };
     let first = choose(&prompt("a"));
-    assert_eq!(choose(&prompt("b")) == first, follows);
+    assert_eq!(choose(&prompt("b")) == first, is_preferred);
     let other = PromptPrefixes::of_parts("m", [("other", tokens)]);
     choose(&other);
     let spread: Vec<_> = (0..4).map(|_| choose(&prompt("c"))).collect();
@@ -305,7 +315,7 @@
 }
 
 #[test]
-fn another_model_or_order_of_parts_is_another_prompt() {
+fn fingerprints_depend_on_model_and_part_order() {
     let heads = |model, parts: &[(&'static str, u32)]| {
         PromptPrefixes::of_parts(model, parts.iter().copied()).as_slice().to_vec()
     };
@@ -316,11 +326,10 @@
     assert_ne!(one[0].fingerprint, heads("n", &[("a", 10)])[0].fingerprint);
 }
 
-/// Symptom: in a crest a little above what all places take everybody is late. Sequence: more requests
-/// come than places become free, for seconds; engines take them first come first served. Cause: all were
-/// let in, so each waited as long as all before it.
+/// Guards against all requests being late at a peak slightly above capacity: requests arrive faster
+/// than slots become free for seconds, and engines serve them first come, first served.
 #[test]
-fn a_request_that_would_be_late_is_turned_away_and_one_that_came_back_is_not() {
+fn late_requests_are_rejected_unless_they_are_retries() {
     let now = MonoTime::from_millis(1);
     let mut table = table(&["t1", "t2"]);
     table.note_online_run("llm", Duration::from_millis(400), Some(Duration::from_millis(50)));
@@ -330,14 +339,17 @@
         table.choose(&query, now, || 0.0).is_some()
     };
     let admitted = (0..20).filter(|_| admit(within)).count();
-    assert_eq!(admitted, 12, "eight places, and two at each of which an end comes every 100 ms");
-    assert!(admit(QueueLimit::Any), "one that came back waits");
+    assert_eq!(
+        admitted, 12,
+        "eight slots, and two queued at each target, where a slot becomes free every 100 ms"
+    );
+    assert!(admit(QueueLimit::Any), "a retry may queue");
 }
 
-/// Symptom: clients are turned away though places are free. Sequence: a gateway's own targets are full, and
-/// so are those of the others' that it happens to look at. Cause: the rest weren't looked at.
+/// Guards against rejecting requests while slots are free: a gateway's own targets are full, and so
+/// are the remote targets that it happens to sample.
 #[test]
-fn nobody_is_turned_away_while_a_place_is_free_anywhere() {
+fn no_request_is_rejected_while_any_slot_is_free() {
     let now = MonoTime::from_millis(1);
     let ids: Vec<String> = (0..20).map(|n| format!("t{n:02}")).collect();
     let mut table = table(&ids.iter().map(String::as_str).collect::<Vec<_>>());
@@ -356,23 +368,23 @@
 #[rstest]
 #[case::all_places_free(0, true)]
 #[case::last_place(7, true)]
-#[case::two_ends_away(9, true)]
-#[case::three_ends_away(10, false)]
-fn an_answer_is_in_time_by_the_ends_that_it_waits_for(#[case] ahead: u32, #[case] in_time: bool) {
-    let mut pace = ServiceLatency::default();
-    assert!(pace.is_in_time(1_000, 8, Duration::from_millis(300)), "nothing is known yet");
+#[case::two_slots_must_become_free(9, true)]
+#[case::three_slots_must_become_free(10, false)]
+fn an_answer_in_time_depends_on_the_queue_ahead(#[case] ahead: u32, #[case] in_time: bool) {
+    let mut latency = ServiceLatency::default();
+    assert!(latency.is_in_time(1_000, 8, Duration::from_millis(300)), "no data yet");
     for _ in 0..200 {
-        pace.note(Duration::from_millis(760), Some(Duration::from_millis(45)));
+        latency.note(Duration::from_millis(760), Some(Duration::from_millis(45)));
     }
-    assert_eq!(pace.is_in_time(ahead, 8, Duration::from_millis(300)), in_time);
+    assert_eq!(latency.is_in_time(ahead, 8, Duration::from_millis(300)), in_time);
 }
 
 #[test]
-fn a_client_with_less_time_than_others_has_come_back() {
+fn a_request_with_less_time_than_others_is_a_retry() {
     let mut table = RetryDetector::default();
     let millis = Duration::from_millis;
     assert!(!table.is_retry("r1", millis(5_000)));
     assert!(!table.is_retry("r1", millis(4_990)));
     assert!(table.is_retry("r1", millis(4_100)));
-    assert!(!table.is_retry("r2", millis(4_100)), "another route's clients");
+    assert!(!table.is_retry("r2", millis(4_100)), "another route");
 }
