--- a/crates/relay/src/accounts/credits.rs
+++ b/crates/relay/src/accounts/credits.rs
@@ -127,10 +127,10 @@
         gateways: usize,
         now: MonoTime,
     ) -> bool {
-        let most = tolerance.requests_without_limiter(limit, held_credit(limit), gateways);
+        let max_admitted = tolerance.requests_without_limiter(limit, held_credit(limit), gateways);
         let known = self.entry(account);
         drop_older(&mut known.without_limiter, tolerance.window, now);
-        let may_admit = known.without_limiter.len() < most as usize;
+        let may_admit = known.without_limiter.len() < max_admitted as usize;
         if may_admit {
             known.without_limiter.push_back(now);
         }
--- a/crates/relay/src/accounts/limiter.rs
+++ b/crates/relay/src/accounts/limiter.rs
@@ -66,7 +66,7 @@
 
     /// Puts a new view in force. Returns the remaining credit of limiters that move to other
     /// gateways. A limiter that moves here starts with the credit that the tolerance allows,
-    /// because other gateways may have granted everything else.
+    /// because other gateways may have granted all of its credit so far.
     pub fn set_view(
         &mut self,
         own: &VmName,
--- a/crates/relay/src/job_admission/forecast.rs
+++ b/crates/relay/src/job_admission/forecast.rs
@@ -19,8 +19,8 @@
 /// run times are off by about as much, and refusing a job that could have been done does more harm
 /// to its client than a job that ends a little late.
 const OVERCOMMIT_FACTOR: f64 = 1.25;
-/// Minimum number of slots for a forecast. Below it, targets that are gone may be back before the
-/// job is due.
+/// Minimum number of slots for a refusal. With fewer slots nothing is refused, since targets that
+/// are gone may be back before the job is due.
 const MIN_SLOTS: f64 = 1.0;
 
 /// Input of the forecast for a new job.
--- a/crates/relay/src/job_admission/slot_average.rs
+++ b/crates/relay/src/job_admission/slot_average.rs
@@ -4,8 +4,8 @@
 
 use notch_types::prelude::*;
 
-/// Averaging window. Online requests arrive in peaks of some seconds, of which a job with a later
-/// due time sees several, so neither a peak nor the pause after it is representative.
+/// Averaging time for the slots. Online requests come in bursts of some seconds: a job that is due
+/// later sees several of them, so neither a burst nor the pause after it tells what items will find.
 const AVERAGING_WINDOW: Duration = Duration::from_secs(6);
 
 /// Average number of slots of one service that are available to items.
@@ -28,7 +28,7 @@
         self.at = now;
     }
 
-    /// The average.
+    /// The mean.
     pub fn value(&self) -> f64 {
         self.value
     }
--- a/crates/relay/src/jobs/table.rs
+++ b/crates/relay/src/jobs/table.rs
@@ -50,7 +50,8 @@
 
 impl JobTable {
     /// Adds a job; has no effect if the job is already present. If the ownership of all jobs was
-    /// invalidated after the job's ownership was requested, that applies to this job too.
+    /// invalidated after the confirmation of this job was requested, the invalidation applies to
+    /// this job too.
     pub fn add(&mut self, mut job: OwnedJob) {
         job.require_generation(self.required_generation);
         self.jobs.entry(job.spec().id.clone()).or_insert(job);
--- a/crates/relay/src/limits/count.rs
+++ b/crates/relay/src/limits/count.rs
@@ -50,8 +50,8 @@
 impl LimitCountThrottle {
     /// Records that a count over all gateways is started.
     pub fn note_asked(&mut self, now: MonoTime) {
-        let most = now + COUNT_INTERVAL * MAX_COUNT_BURST;
-        self.used_until = (self.used_until.max(now) + COUNT_INTERVAL).min(most);
+        let latest = now + COUNT_INTERVAL * MAX_COUNT_BURST;
+        self.used_until = (self.used_until.max(now) + COUNT_INTERVAL).min(latest);
     }
 
     /// Records the result of a count.
--- a/crates/relay/src/limits/holder.rs
+++ b/crates/relay/src/limits/holder.rs
@@ -123,8 +123,8 @@
     ///
     /// While the store is slow, a write of shares can take as long as a client waits. Jobs that
     /// arrive in the meantime use what is held, except for the part reserved for the job that the
-    /// write is for. `is_in_touch` tells whether all other gateways are heard from. A gateway that
-    /// is not may have lost its share without noticing, so it must allocate by a write.
+    /// write is for. `is_in_touch` tells whether all other gateways are heard from. Otherwise
+    /// this gateway may have lost its share without noticing, so it must allocate by a write.
     pub fn availability(
         &mut self,
         used: u64,
@@ -200,7 +200,7 @@
         let mut table = self.table.clone();
         for (holder, amount) in taken.iter().filter(|(holder, _)| *holder != self.name) {
             let left = table.share(holder).lent.saturating_sub(*amount);
-            table.give_back(holder, left);
+            table.lower_share(holder, left);
         }
         self.propose(table, self.lent)
     }
@@ -253,12 +253,12 @@
         kept
     }
 
-    /// Records that another holder lowered its share to `lent`, as asked when `revision` was the
-    /// known revision of the table.
+    /// Records that another holder lowered its share to `lent`, in answer to a request made when
+    /// `revision` of the table was known here.
     pub fn lowered(&mut self, holder: &str, lent: u64, revision: Option<u64>) {
         // In a table of a later revision, the holder may have increased its share again.
         if self.revision == revision {
-            self.table.give_back(holder, lent);
+            self.table.lower_share(holder, lent);
         }
     }
 
--- a/crates/relay/src/limits/table.rs
+++ b/crates/relay/src/limits/table.rs
@@ -46,7 +46,7 @@
     }
 
     /// Lowers a holder's share to `lent`. A holder with an empty share is removed.
-    pub fn give_back(&mut self, holder: &str, lent: u64) {
+    pub fn lower_share(&mut self, holder: &str, lent: u64) {
         let Some(share) = self.holders.get_mut(holder) else { return };
         share.lent = share.lent.min(lent);
         if share.lent == 0 {
--- a/crates/relay/src/targets/homes.rs
+++ b/crates/relay/src/targets/homes.rs
@@ -85,15 +85,16 @@
     }
     let mut homes = FastMap::default();
     for (domain, ids) in domains {
-        let near = gateways.iter().filter(|(_, gateway_domain)| *gateway_domain == domain);
-        let mut names: Vec<&str> = near.map(|(name, _)| *name).collect();
+        let in_domain = gateways.iter().filter(|(_, gateway_domain)| *gateway_domain == domain);
+        let mut names: Vec<&str> = in_domain.map(|(name, _)| *name).collect();
         if names.is_empty() {
             names = gateways.iter().map(|(name, _)| *name).collect();
         }
-        let most = ids.len().div_ceil(names.len());
+        let max_targets = ids.len().div_ceil(names.len());
         let mut counts: FastMap<&str, usize> = FastMap::default();
         for id in ids {
-            let open = names.iter().filter(|name| counts.get(**name).is_none_or(|n| *n < most));
+            let open =
+                names.iter().filter(|name| counts.get(**name).is_none_or(|n| *n < max_targets));
             let first = open.max_by_key(|name| stable_hash64(&[id.as_bytes(), name.as_bytes()]));
             let Some(first) = first else { continue };
             *counts.entry(*first).or_default() += 1;
