--- a/crates/link/src/connection.rs
+++ b/crates/link/src/connection.rs
@@ -1,4 +1,4 @@
-//! One standing link: reads, writes, heartbeats and the silence limit.
+//! An established link: reading, writing, heartbeats and detection of silent connections.
 
 use std::{
     sync::{
@@ -28,15 +28,15 @@
     settings::LinkSettings,
 };
 
-/// Messages written before the socket is flushed, at most.
+/// Maximum number of messages written before the socket is flushed.
 const WRITE_BATCH: usize = 64;
-/// Bytes read from, or gathered for, one socket at a time. Each link holds a buffer of this size for each
-/// way, so a process with hundreds of links pays for it hundreds of times.
+/// Size of the read buffer and of the write buffer of a socket, bytes. Each link has both, so they
+/// are kept small for processes with hundreds of links.
 const SOCKET_BUFFER: usize = 8 << 10;
 
 static NEXT_LINK: AtomicU64 = AtomicU64::new(1);
 
-/// WebSocket limits: one message a frame, bounded.
+/// WebSocket buffers and size limits. A message is sent as one frame, so both have the same limit.
 pub(crate) fn socket_config(settings: &LinkSettings) -> WebSocketConfig {
     WebSocketConfig::default()
         .read_buffer_size(SOCKET_BUFFER)
@@ -45,8 +45,8 @@
         .max_frame_size(Some(settings.max_message_bytes))
 }
 
-/// Tells of the link's end exactly once, also when the link's task is cancelled in the midst:
-/// whoever keeps state by link would otherwise hold it for good.
+/// Reports the end of the link exactly once, even if the link's task is cancelled. Otherwise
+/// receivers of the events would keep their state of the link forever.
 struct DownGuard<'a> {
     peer: &'a LinkPeer,
     link: u64,
@@ -61,7 +61,7 @@
     }
 }
 
-/// Runs a proved link until it ends, telling `sink` of everything.
+/// Runs an authenticated link until it ends and reports its events to `sink`.
 pub(crate) async fn run(
     socket: LinkSocket,
     peer: LinkPeer,
@@ -78,8 +78,8 @@
     let reading = read_all(incoming, settings.silence, &peer, id, sink);
     let writing = write_all(outgoing, &queue, settings.heartbeat);
     pin_mut!(reading, writing);
-    // The side that ends first drops the other: a reader that met silence must not wait for a
-    // writer that is blocked on the very connection that went silent.
+    // The direction that ends first cancels the other: after a silence time-out the reader must
+    // not wait for the writer, which may be blocked on the same silent connection.
     guard.reason = match select(reading, writing).await {
         Either::Left((reason, _)) | Either::Right((reason, _)) => reason,
     };
@@ -118,9 +118,10 @@
     }
 }
 
-/// Each end says something at least once a heartbeat, so each end's silence limit watches the
-/// other's direction; an answer to a heartbeat would only double the bytes of idle links. A link
-/// that carries one way only is closed by the end that hears nothing.
+/// Writes queued messages, and a heartbeat after each idle heartbeat interval. Since both ends do
+/// this, each end detects a failure of the other's direction by its own silence limit, and
+/// heartbeats need no answers, which would double the traffic of idle links. A link that
+/// transports messages in one direction only is closed by the end that receives nothing.
 async fn write_all(
     mut outgoing: SplitSink<LinkSocket, Message>,
     queue: &LinkQueue,
@@ -149,7 +150,8 @@
     }
 }
 
-/// Writes what is queued and flushes once: a flush a message would cost a system call each.
+/// Writes the queued messages and flushes once, because a flush per message would cost a system
+/// call each.
 async fn write_batch(
     outgoing: &mut SplitSink<LinkSocket, Message>,
     first: EncodedMessage,
--- a/crates/link/src/dialer.rs
+++ b/crates/link/src/dialer.rs
@@ -1,4 +1,4 @@
-//! Dials a link and dials it again whenever it is lost.
+//! Dials a link and redials it whenever it is lost.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -16,15 +16,16 @@
     settings::LinkSettings,
 };
 
-/// Keeps one link to one address standing until stopped or dropped.
+/// Keeps one link to one address connected until it is stopped or dropped.
 #[derive(Debug)]
 pub struct LinkDialer {
-    dialing: Option<task::JoinHandle<()>>,
+    dial_task: Option<task::JoinHandle<()>>,
 }
 
 impl LinkDialer {
-    /// Starts dialling `address`, where `expected` is said to live. Another VM answering there is
-    /// refused: addresses are used again, and its answers would be taken for the old VM's.
+    /// Starts dialling `address`, at which the VM `expected` is registered. A different VM that
+    /// answers there is refused: addresses are reused, and its messages would be attributed to the
+    /// former VM.
     pub fn start(
         address: SocketAddr,
         expected: &VmName,
@@ -32,53 +33,54 @@
         sink: LinkSink,
     ) -> Self {
         let expected = expected.clone();
-        let dialing = task::spawn(dial_forever(address, expected, Arc::new(settings), sink));
-        Self { dialing: Some(dialing) }
+        let dial_task = task::spawn(dial_loop(address, expected, Arc::new(settings), sink));
+        Self { dial_task: Some(dial_task) }
     }
 
-    /// Ends the link, with its `Down`, and dials no more.
+    /// Stops dialling and ends the link, which reports `Down`.
     pub async fn stop(mut self) {
-        if let Some(dialing) = self.dialing.take() {
-            dialing.cancel().await;
+        if let Some(dial_task) = self.dial_task.take() {
+            dial_task.cancel().await;
         }
     }
 }
 
 impl Drop for LinkDialer {
     fn drop(&mut self) {
-        if let Some(dialing) = self.dialing.take() {
-            task::spawn(dialing.cancel());
+        if let Some(dial_task) = self.dial_task.take() {
+            task::spawn(dial_task.cancel());
         }
     }
 }
 
-async fn dial_forever(
+async fn dial_loop(
     address: SocketAddr,
     expected: VmName,
     settings: Arc<LinkSettings>,
     sink: LinkSink,
 ) {
-    let mut wait = settings.redial_min;
+    let mut backoff = settings.redial_min;
     loop {
-        let shaken = timeout(settings.handshake_timeout, shake(address, &expected, &settings));
-        match shaken.await.unwrap_or(Err(LinkError::TimedOut)) {
+        let connecting =
+            timeout(settings.handshake_timeout, connect(address, &expected, &settings));
+        match connecting.await.unwrap_or(Err(LinkError::TimedOut)) {
             Ok((socket, peer)) => {
-                wait = settings.redial_min;
+                backoff = settings.redial_min;
                 connection::run(socket, peer, &settings, &sink).await;
             }
-            Err(fault) => debug!("link to {expected} not made: {fault}"),
+            Err(fault) => debug!("link to {expected} could not be established: {fault}"),
         }
-        // Full jitter: the VMs that lost the same peer must not come back in step.
-        task::sleep(wait.mul_f64(0.5 + 0.5 * rand::random::<f64>())).await;
-        wait = grown(wait, settings.redial_max);
+        // Random jitter, so that VMs that lost the same peer don't redial it at the same time.
+        task::sleep(backoff.mul_f64(0.5 + 0.5 * rand::random::<f64>())).await;
+        backoff = next_backoff(backoff, settings.redial_max);
     }
 }
 
-fn grown(wait: Duration, limit: Duration) -> Duration {
-    (wait * 2).min(limit)
+fn next_backoff(backoff: Duration, limit: Duration) -> Duration {
+    (backoff * 2).min(limit)
 }
 
-async fn shake(
+async fn connect(
     address: SocketAddr,
     expected: &VmName,
     settings: &LinkSettings,
--- a/crates/link/src/error.rs
+++ b/crates/link/src/error.rs
@@ -1,33 +1,33 @@
-//! Why a link can't be made or used.
+//! Errors of links.
 
 use std::fmt;
 
-/// A link's fault.
+/// Why a link can't be established or used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkError {
     /// TCP or WebSocket failed.
     Transport,
-    /// The other side took too long.
+    /// The other side did not answer in time.
     TimedOut,
-    /// The other side did not prove the secret, or is not the VM expected.
+    /// The other side failed to authenticate with the shared secret, or is not the expected VM.
     Unproved,
-    /// A message that can't be decoded.
+    /// A message could not be decoded or encoded.
     Undecodable,
     /// The link is closed.
     Closed,
-    /// The link's queue is full: the other side reads too slowly.
+    /// The send queue is full because the other side reads too slowly.
     Full,
 }
 
 impl fmt::Display for LinkError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Transport => "transport failed",
-            Self::TimedOut => "timed out",
-            Self::Unproved => "the other side did not prove the secret",
-            Self::Undecodable => "undecodable message",
+            Self::Transport => "TCP or WebSocket transport failed",
+            Self::TimedOut => "peer did not answer in time",
+            Self::Unproved => "peer failed to authenticate or is not the expected VM",
+            Self::Undecodable => "message could not be encoded or decoded",
             Self::Closed => "link closed",
-            Self::Full => "link queue full",
+            Self::Full => "link send queue full",
         })
     }
 }
--- a/crates/link/src/event.rs
+++ b/crates/link/src/event.rs
@@ -1,4 +1,4 @@
-//! What a link tells its process, and the handle to send on it.
+//! Events of a link, and the handle to send on it.
 
 use std::sync::Arc;
 
@@ -7,12 +7,12 @@
 
 use crate::{encoded::EncodedMessage, error::LinkError, queue::LinkQueue};
 
-/// The proved other end.
+/// The authenticated other end of a link.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LinkPeer {
     /// Its VM.
     pub vm: VmName,
-    /// What it is.
+    /// Its role.
     pub role: NodeRole,
 }
 
@@ -21,54 +21,54 @@
 pub enum LinkDown {
     /// Closed by either side.
     Closed,
-    /// Nothing came for the silence limit.
+    /// Nothing was received for longer than the silence limit.
     Silent,
-    /// A fault of the transport or of a message.
+    /// A transport error or an invalid message.
     Failed(LinkError),
 }
 
-/// News of links, in order for each link: `Up`, then messages, then `Down` once.
+/// Event of a link. Each link reports `Up` first, then its messages, and finally one `Down`.
 #[derive(Debug)]
 #[allow(
     clippy::large_enum_variant,
-    reason = "nearly all are messages; a box would cost each an allocation"
+    reason = "nearly all events are messages, and boxing them would cost an allocation each"
 )]
 pub enum LinkEvent {
-    /// A link stands.
+    /// The link is established.
     Up {
-        /// Whom it leads to.
+        /// The other end.
         peer: LinkPeer,
-        /// To send on it.
+        /// Handle to send on the link.
         link: LinkHandle,
     },
-    /// A message came.
+    /// A message was received.
     Message {
-        /// From whom.
+        /// The sender.
         peer: LinkPeer,
-        /// On which link.
+        /// Id of the link.
         link: u64,
         /// The message.
         message: LinkMessage,
         /// Its length on the wire, bytes.
         bytes: usize,
     },
-    /// A heartbeat came: the other end lives and has nothing to say.
+    /// A heartbeat was received: the other end is alive and idle.
     Heartbeat {
-        /// From whom.
+        /// The sender.
         peer: LinkPeer,
     },
-    /// The link is gone.
+    /// The link has ended.
     Down {
-        /// Whom it led to.
+        /// The other end.
         peer: LinkPeer,
-        /// Which link.
+        /// Id of the link.
         link: u64,
-        /// Why.
+        /// Why it ended.
         reason: LinkDown,
     },
 }
 
-/// Called with each event, on the link's own task: it must not block.
+/// Callback for events. It runs on the link's task and must not block.
 pub type LinkSink = Arc<dyn Fn(LinkEvent) + Send + Sync>;
 
 /// Sends on one link. Cheap to clone.
@@ -79,7 +79,7 @@
 }
 
 impl LinkHandle {
-    /// A number unique in this process: a new link to the same peer has another.
+    /// Id of the link, unique in this process. A new link to the same peer has a new id.
     pub fn id(&self) -> u64 {
         self.id
     }
@@ -87,13 +87,13 @@
     /// Queues a message without waiting.
     ///
     /// # Errors
-    /// `Full` when the other side reads too slowly, `Closed` when the link is gone. Neither tells
-    /// whether earlier messages arrived.
+    /// `Full` when the other side reads too slowly, `Closed` when the link has ended. In both cases it
+    /// is unknown whether earlier messages arrived.
     pub fn send(&self, message: LinkMessage) -> Result<(), LinkError> {
         self.send_encoded(EncodedMessage::encode(&message)?)
     }
 
-    /// Queues a message that was encoded before, without waiting.
+    /// Queues a message that is already encoded, without waiting.
     ///
     /// # Errors
     /// As for [`send`](Self::send).
@@ -101,7 +101,7 @@
         self.queue.try_push(message)
     }
 
-    /// Closes the link; a dialled one is dialled again.
+    /// Closes the link. A link that was dialled is dialled again.
     pub fn close(&self) {
         self.queue.close();
     }
--- a/crates/link/src/handshake.rs
+++ b/crates/link/src/handshake.rs
@@ -1,9 +1,9 @@
-//! Mutual proof of the shared secret.
+//! Mutual authentication by proof of the shared secret.
 //!
-//! Without it any process that can reach the port could become a peer, take over a shard's calls
-//! or order a target. Each side sends a fresh nonce and proves the secret over both nonces, both
-//! names and its own direction, so a recorded proof is worth nothing on another connection and a
-//! proof can't be reflected to its maker.
+//! Without it, any process that can reach the port could act as a peer, answer calls to a shard or
+//! send orders to a target. Each side sends a fresh nonce, and each proof is an HMAC over both
+//! nonces, both names and roles, and the direction. A recorded proof is therefore invalid on
+//! another connection, and a proof can't be reflected to its sender.
 
 use async_std::net::TcpStream;
 use futures_util::{SinkExt, StreamExt};
@@ -17,8 +17,8 @@
 
 pub(crate) type LinkSocket = WebSocketStream<Compat<TcpStream>>;
 
-const DIALER: &[u8] = b"magnolianotch link dialer 1";
-const LISTENER: &[u8] = b"magnolianotch link listener 1";
+const DIALER_CONTEXT: &[u8] = b"magnolianotch link dialer 1";
+const LISTENER_CONTEXT: &[u8] = b"magnolianotch link listener 1";
 
 #[derive(Serialize, Deserialize)]
 struct HelloFrame {
@@ -45,7 +45,7 @@
     ready: bool,
 }
 
-/// The dialling side: proves itself and checks the listener.
+/// Handshake of the dialling side: authenticates to the listener and verifies the listener's proof.
 pub(crate) async fn dial(
     socket: &mut LinkSocket,
     settings: &LinkSettings,
@@ -54,36 +54,36 @@
     let hello = HelloFrame { vm: settings.vm.clone(), role: settings.role, nonce };
     write(socket, &hello).await?;
     let challenge: ChallengeFrame = read(socket).await?;
-    let proved = transcript(&hello, &challenge.vm, challenge.role, &challenge.nonce);
-    if !settings.secret.verify(&[LISTENER, &proved], &challenge.proof) {
+    let transcript_bytes = transcript(&hello, &challenge.vm, challenge.role, &challenge.nonce);
+    if !settings.secret.verify(&[LISTENER_CONTEXT, &transcript_bytes], &challenge.proof) {
         return Err(LinkError::Unproved);
     }
-    let proof = settings.secret.prove(&[DIALER, &proved]).into();
+    let proof = settings.secret.prove(&[DIALER_CONTEXT, &transcript_bytes]).into();
     write(socket, &ProofFrame { proof }).await?;
     let _: ReadyFrame = read(socket).await?;
     Ok(LinkPeer { vm: challenge.vm, role: challenge.role })
 }
 
-/// The listening side: proves itself and checks the dialler.
+/// Handshake of the listening side: authenticates to the dialler and verifies the dialler's proof.
 pub(crate) async fn accept(
     socket: &mut LinkSocket,
     settings: &LinkSettings,
 ) -> Result<LinkPeer, LinkError> {
     let hello: HelloFrame = read(socket).await?;
     let nonce = fresh_nonce();
-    let proved = transcript(&hello, &settings.vm, settings.role, &nonce);
-    let proof = settings.secret.prove(&[LISTENER, &proved]).into();
+    let transcript_bytes = transcript(&hello, &settings.vm, settings.role, &nonce);
+    let proof = settings.secret.prove(&[LISTENER_CONTEXT, &transcript_bytes]).into();
     write(socket, &ChallengeFrame { vm: settings.vm.clone(), role: settings.role, nonce, proof })
         .await?;
     let answer: ProofFrame = read(socket).await?;
-    if !settings.secret.verify(&[DIALER, &proved], &answer.proof) {
+    if !settings.secret.verify(&[DIALER_CONTEXT, &transcript_bytes], &answer.proof) {
         return Err(LinkError::Unproved);
     }
     write(socket, &ReadyFrame { ready: true }).await?;
     Ok(LinkPeer { vm: hello.vm, role: hello.role })
 }
 
-/// Everything both sides must agree on, unambiguous by length prefixes.
+/// The data that both proofs cover. Length prefixes make the encoding unambiguous.
 fn transcript(hello: &HelloFrame, vm: &VmName, role: NodeRole, nonce: &[u8]) -> Vec<u8> {
     let roles = [role_byte(hello.role), role_byte(role)];
     let parts: [&[u8]; 5] =
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -1,5 +1,6 @@
-//! Links between the system's own processes: WebSocket frames of CBOR over TCP, with a mutual
-//! proof of the shared secret at the start, heartbeats when idle, and a silence limit.
+//! Links between the system's own processes: CBOR messages in WebSocket frames over TCP, with
+//! mutual authentication by a shared secret, heartbeats on idle links, and a limit on silence
+//! after which a link is replaced.
 
 pub mod codec;
 mod connection;
@@ -13,7 +14,7 @@
 pub mod secret;
 pub mod settings;
 
-/// What daemons use.
+/// The types that processes with links use.
 pub mod prelude {
     pub use crate::{
         dialer::LinkDialer,
--- a/crates/link/src/listener.rs
+++ b/crates/link/src/listener.rs
@@ -21,23 +21,23 @@
 
 use crate::{connection, error::LinkError, event::LinkSink, handshake, settings::LinkSettings};
 
-/// Pause after a failed `accept`, so that running out of descriptors doesn't spin.
+/// Pause after a failed `accept`, which prevents a busy loop when file descriptors run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// A listening port for links; stops when told or dropped.
+/// Listens for links until it is stopped or dropped.
 #[derive(Debug)]
 pub struct LinkListener {
     address: SocketAddr,
-    accepting: Option<task::JoinHandle<()>>,
-    /// Tasks of accepted links, so that a stop ends them too.
+    accept_task: Option<task::JoinHandle<()>>,
+    /// Closed to end the tasks of all accepted links.
     stop: async_channel::Sender<()>,
 }
 
 impl LinkListener {
-    /// Binds and starts accepting; every link's events go to `sink`.
+    /// Binds `address` and starts accepting links, whose events are reported to `sink`.
     ///
     /// # Errors
-    /// The operating system's, when the address can't be bound.
+    /// The error of the operating system when the address can't be bound.
     pub async fn start(
         address: SocketAddr,
         settings: LinkSettings,
@@ -46,11 +46,11 @@
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
         let (stop, stopped) = async_channel::bounded(1);
-        let accepting = task::spawn(accept_all(listener, Arc::new(settings), sink, stopped));
-        Ok(Self { address, accepting: Some(accepting), stop })
+        let accept_task = task::spawn(accept_loop(listener, Arc::new(settings), sink, stopped));
+        Ok(Self { address, accept_task: Some(accept_task), stop })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -58,8 +58,8 @@
     /// Stops accepting and ends the accepted links.
     pub async fn stop(mut self) {
         self.stop.close();
-        if let Some(accepting) = self.accepting.take() {
-            accepting.cancel().await;
+        if let Some(accept_task) = self.accept_task.take() {
+            accept_task.cancel().await;
         }
     }
 }
@@ -67,13 +67,13 @@
 impl Drop for LinkListener {
     fn drop(&mut self) {
         self.stop.close();
-        if let Some(accepting) = self.accepting.take() {
-            task::spawn(accepting.cancel());
+        if let Some(accept_task) = self.accept_task.take() {
+            task::spawn(accept_task.cancel());
         }
     }
 }
 
-async fn accept_all(
+async fn accept_loop(
     listener: TcpListener,
     settings: Arc<LinkSettings>,
     sink: LinkSink,
@@ -107,16 +107,16 @@
     sink: LinkSink,
     handshakes: Arc<AtomicUsize>,
 ) {
-    let shaken = timeout(settings.handshake_timeout, shake(stream, &settings)).await;
+    let accepted = timeout(settings.handshake_timeout, accept(stream, &settings)).await;
     handshakes.fetch_sub(1, Ordering::AcqRel);
-    match shaken {
+    match accepted {
         Ok(Ok((socket, peer))) => connection::run(socket, peer, &settings, &sink).await,
-        Ok(Err(fault)) => debug!("link refused: {fault}"),
-        Err(_) => debug!("link refused: {}", LinkError::TimedOut),
+        Ok(Err(fault)) => debug!("incoming link refused: {fault}"),
+        Err(_) => debug!("incoming link refused: {}", LinkError::TimedOut),
     }
 }
 
-async fn shake(
+async fn accept(
     stream: TcpStream,
     settings: &LinkSettings,
 ) -> Result<(handshake::LinkSocket, crate::event::LinkPeer), LinkError> {
--- a/crates/link/src/queue.rs
+++ b/crates/link/src/queue.rs
@@ -1,4 +1,4 @@
-//! Messages that wait to be written on one link.
+//! Send queue of a link.
 
 use std::{
     collections::VecDeque,
@@ -9,37 +9,40 @@
 
 use crate::{encoded::EncodedMessage, error::LinkError};
 
-/// How much may wait.
+/// Limits of a send queue.
 #[derive(Debug, Clone, Copy)]
 pub struct QueueLimits {
-    /// Messages.
+    /// Maximum number of messages.
     pub messages: usize,
-    /// Bytes of all messages together. A single larger message is taken when nothing else waits.
+    /// Maximum size of all messages together, bytes. A larger message is accepted if the queue is
+    /// empty.
     pub bytes: usize,
 }
 
 #[derive(Debug, Default)]
 struct QueueState {
     messages: VecDeque<EncodedMessage>,
-    /// Sum over `messages`.
+    /// Total size of `messages`, bytes.
     bytes: usize,
     is_closed: bool,
 }
 
-/// Messages that wait to be written on one link, bounded in number and bytes.
+/// Send queue of one link, bounded in number of messages and in bytes.
 ///
-/// A message replaces an earlier one that it makes obsolete, so a peer that reads slowly gets the
-/// newest state and costs no more memory than one copy of it.
+/// A message replaces a queued one with the same [`CoalesceKey`], so that a peer that reads slowly
+/// receives the newest state and the queue holds only one copy of it.
+///
+/// [`CoalesceKey`]: notch_messages::coalesce::CoalesceKey
 #[derive(Debug)]
 pub struct LinkQueue {
     limits: QueueLimits,
     state: Mutex<QueueState>,
-    /// Notified when a message was queued or the queue was closed.
+    /// Notified when a message is queued or the queue is closed.
     filled: Event,
 }
 
 impl LinkQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new(limits: QueueLimits) -> Self {
         Self { limits, state: Mutex::default(), filled: Event::new() }
     }
@@ -68,12 +71,12 @@
         }
     }
 
-    /// Takes the next message if one waits.
+    /// Takes the next message if there is one.
     pub fn try_pop(&self) -> Option<EncodedMessage> {
         self.state().pop()
     }
 
-    /// Takes no more messages; those that wait can still be taken.
+    /// Accepts no more messages. Those already queued can still be taken.
     pub fn close(&self) {
         self.state().is_closed = true;
         self.filled.notify(usize::MAX);
@@ -100,11 +103,11 @@
         Ok(())
     }
 
-    /// Drops the message that `message` makes obsolete. The newer one goes to the end: it may tell what
-    /// messages in between have told already.
+    /// Drops the queued message that `message` replaces. The newer one is queued at the end, because it
+    /// may depend on messages that were queued in between.
     fn drop_obsolete(&mut self, message: &EncodedMessage) {
-        let Some(slot) = message.slot() else { return };
-        let old = self.messages.iter().position(|queued| queued.slot() == Some(slot));
+        let Some(key) = message.coalesce_key() else { return };
+        let old = self.messages.iter().position(|queued| queued.coalesce_key() == Some(key));
         if let Some(old) = old.and_then(|index| self.messages.remove(index)) {
             self.bytes -= old.len();
         }
--- a/crates/link/src/secret.rs
+++ b/crates/link/src/secret.rs
@@ -1,21 +1,21 @@
-//! The secret that the processes of one deployment share.
+//! The secret shared by all processes of a deployment.
 
 use std::{fmt, sync::Arc};
 
 use hmac::{Hmac, Mac};
 use sha2::Sha256;
 
-/// A shared secret. Never shown, never sent: only proofs made with it travel.
+/// A shared secret. It is never logged and never sent; only proofs derived from it are sent.
 #[derive(Clone)]
 pub struct LinkSecret(Arc<[u8]>);
 
 impl LinkSecret {
-    /// Takes the secret's bytes, trailing white space cut (files end with a newline).
+    /// Creates a secret from bytes without their trailing white space, because files end with a newline.
     pub fn new(bytes: &[u8]) -> Self {
         Self(Arc::from(bytes.trim_ascii_end()))
     }
 
-    /// Whether there is none, which settings checks refuse.
+    /// Whether the secret is empty, which the validation of settings rejects.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/crates/link/src/settings.rs
+++ b/crates/link/src/settings.rs
@@ -1,4 +1,4 @@
-//! How links behave.
+//! Settings of links.
 
 use std::time::Duration;
 
@@ -10,30 +10,31 @@
 /// Settings of every link of one process.
 #[derive(Debug, Clone)]
 pub struct LinkSettings {
-    /// The VM this process runs on, proved to the other side with the secret.
+    /// The VM that this process runs on. The handshake authenticates it to the other side.
     pub vm: VmName,
-    /// What this process is.
+    /// The role of this process.
     pub role: NodeRole,
-    /// What all processes of one deployment share.
+    /// The secret shared by all processes of a deployment.
     pub secret: LinkSecret,
-    /// An idle link sends a heartbeat this often. Invariant: shorter than `silence`.
+    /// Interval of heartbeats on an idle link. Invariant: shorter than `silence`.
     pub heartbeat: Duration,
-    /// A link that brings nothing for this long is given up and replaced: something between the
-    /// two ends may have lost track of the connection, and then neither end is ever told.
+    /// A link on which nothing is received for this long is closed and replaced. Middleboxes may drop
+    /// the state of a connection without notifying either end.
     pub silence: Duration,
-    /// Longest time for connecting and for the whole handshake.
+    /// Maximum time for connecting and the whole handshake.
     pub handshake_timeout: Duration,
-    /// Shortest wait before a lost link is dialled again.
+    /// Initial delay before a lost link is redialled; it doubles with each failure.
     pub redial_min: Duration,
-    /// Longest wait before a lost link is dialled again.
+    /// Maximum delay before a lost link is redialled.
     pub redial_max: Duration,
-    /// Largest message, bytes; a larger one closes the link.
+    /// Maximum size of a message, bytes; a larger message closes the link.
     pub max_message_bytes: usize,
-    /// Messages that may wait to be written on one link.
+    /// Maximum number of messages in the send queue of a link.
     pub queue: usize,
-    /// Bytes of messages that may wait to be written on one link. A single larger message waits alone.
+    /// Maximum size of all messages in the send queue of a link, bytes. A larger message is queued only
+    /// on its own.
     pub queue_bytes: usize,
-    /// Connections that may stand in their handshake at once; more are closed unheard.
+    /// Maximum number of connections in the handshake at a time; further connections are closed at once.
     pub max_handshakes: usize,
 }
 
--- a/crates/messages/src/attempt.rs
+++ b/crates/messages/src/attempt.rs
@@ -1,46 +1,47 @@
-//! One try of a request at a sidecar.
+//! One attempt of a request at a sidecar.
 
 use notch_types::{class::WorkClass, prelude::*};
 use serde::{Deserialize, Serialize};
 
-/// Gateway to sidecar: run this, or say why not.
+/// Gateway to sidecar: run this attempt, or refuse it with a reason.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AttemptOffer {
-    /// Which try of which request.
+    /// Id of the attempt.
     pub attempt: AttemptId,
-    /// The model or service asked for.
+    /// The model or service that the request is for.
     pub target: TargetName,
-    /// Who asks.
+    /// The account that sent the request.
     pub account: AccountName,
-    /// Online, or an item of a job.
+    /// Whether it is an online request or an item of a job.
     pub class: WorkClass,
     /// Path below the target for a plain service, empty for an engine.
     pub path: String,
-    /// The request's body, JSON as the caller sent it.
+    /// The request's body: JSON exactly as the caller sent it.
     pub body: Payload,
-    /// Whether the caller reads a stream.
+    /// Whether the caller asked for a streamed answer.
     pub stream: bool,
-    /// Milliseconds left until the deadline, counted from the sending.
+    /// Milliseconds left until the deadline when the offer is sent.
     pub deadline_ms: u64,
-    /// Whether the target may run it more than once.
+    /// Whether it may run more than once.
     pub idempotent: bool,
-    /// What it would run; suspects and quarantine go by it.
+    /// Fingerprint of the work, by which crash suspects and quarantine are identified.
     pub fingerprint: Fingerprint,
-    /// Whether it must be the only one in flight at the target, for it is suspected of crashing
-    /// targets: the sidecar starts it when the target is empty and lets nothing join it.
+    /// Whether it must be the only attempt in flight at the target because it is suspected of
+    /// crashing targets. The sidecar starts it once the target is idle and admits nothing beside it.
     #[serde(default)]
     pub alone: bool,
-    /// Output already produced by an earlier attempt, to resume after (batch only).
+    /// Output produced by an earlier attempt, after which to resume (batch only).
     pub progress: Option<Payload>,
 }
 
-/// Sidecar to gateway: not taken. A refusal always means "never started here, and never will be".
+/// Sidecar to gateway: the attempt is refused. A refusal guarantees that the attempt was never
+/// started here and never will be.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AttemptRefusal {
-    /// The attempt refused.
+    /// The refused attempt.
     pub attempt: AttemptId,
-    /// Why.
+    /// Why it was refused.
     pub reason: RefusalReason,
-    /// When a new try makes sense, milliseconds.
+    /// When to retry, milliseconds from now.
     pub retry_after_ms: Option<u64>,
 }
--- a/crates/messages/src/entry.rs
+++ b/crates/messages/src/entry.rs
@@ -1,9 +1,9 @@
-//! Catalogue entries as they travel: opaque JSON under a kind, a name and a version.
+//! Catalogue entries as sent between processes: opaque JSON with a kind, a name and a version.
 
 use notch_types::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// The kinds of entries.
+/// Kind of a catalogue entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum EntryKind {
@@ -13,11 +13,11 @@
     Target,
     /// The deployment's policy: weights of latency and throughput.
     Policy,
-    /// A VM that an operator wants drained.
+    /// A VM that an operator has requested to drain.
     Leaving,
 }
 
-/// Which entry.
+/// Key of an entry.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct EntryKey {
     /// Its kind.
@@ -26,7 +26,7 @@
     pub name: String,
 }
 
-/// Which version of which entry.
+/// Key and version of an entry.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct EntryStamp {
     /// The entry.
@@ -45,12 +45,12 @@
     pub key: EntryKey,
     /// Its version in the object API.
     pub version: EntryVersion,
-    /// Its JSON text, validated again on arrival.
+    /// Its JSON text; the receiver validates it again.
     pub body: EntryBody,
 }
 
 impl EntryRecord {
-    /// The version without the text.
+    /// The entry's key and version, without its text.
     pub fn stamp(&self) -> EntryStamp {
         EntryStamp { key: self.key.clone(), version: self.version }
     }
--- a/crates/messages/src/frame.rs
+++ b/crates/messages/src/frame.rs
@@ -1,4 +1,4 @@
-//! What travels on a link.
+//! Messages sent on a link.
 
 use notch_types::prelude::*;
 use serde::{Deserialize, Serialize};
@@ -14,14 +14,14 @@
     shard::ShardCall,
 };
 
-/// What a process is.
+/// Role of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum NodeRole {
-    /// On an entry VM.
+    /// Gateway on an entry VM.
     Gateway,
-    /// Beside a target.
+    /// Sidecar beside a target.
     Sidecar,
-    /// An operator's command line.
+    /// Command line of an operator.
     Operator,
 }
 
@@ -32,135 +32,135 @@
     pub vm: VmName,
     /// Its failure domain.
     pub domain: DomainName,
-    /// Drawn at its start.
+    /// The sidecar's incarnation.
     pub incarnation: Incarnation,
-    /// What it serves, and how loaded it is.
+    /// The targets that it serves and their load.
     pub load: LoadReport,
 }
 
 /// Gateway to sidecar.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SidecarMessage {
-    /// Run this online attempt.
+    /// Offers an online attempt to run.
     Offer(AttemptOffer),
-    /// Send the attempt's output again from this offset.
+    /// Requests the attempt's output from this offset on.
     Resume {
         /// The attempt.
         attempt: AttemptId,
-        /// Bytes the gateway already holds.
+        /// Bytes that the gateway has already received.
         offset: u64,
     },
-    /// Stop the attempt.
+    /// Requests to stop the attempt.
     Cancel {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// If it hasn't started, make sure it never does, and say so.
+    /// Requests that the attempt never starts if it hasn't started yet, and to report its state.
     Seal {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// Work that was pulled.
+    /// Grants a lot of items in answer to a pull.
     Lot(LotGrant),
-    /// No work now.
+    /// No work is available at present.
     NoWork {
-        /// For which target.
+        /// The target that the pull was for.
         target: TargetName,
-        /// When to ask again, milliseconds.
+        /// When to pull again, milliseconds from now.
         retry_after_ms: u64,
     },
-    /// The job is cancelled: stop its items, start no more of them.
+    /// The job is cancelled: stop its items and start no more of them.
     CancelJob {
         /// The job.
         job: JobId,
         /// The owner's epoch.
         epoch: Epoch,
     },
-    /// These results are in the ledger.
+    /// The results of these items are committed to the ledger.
     ItemsSettled(Vec<ItemKey>),
     /// Catalogue entries in force.
     Entries(Vec<EntryRecord>),
-    /// Fingerprints quarantined fleet-wide.
+    /// Fingerprints that are quarantined fleet-wide.
     Quarantined(Vec<Fingerprint>),
-    /// Fingerprints in flight at a crash elsewhere: run each of them alone. Sent on the same link
-    /// before the offer or lot that carries one.
+    /// Fingerprints that were in flight when another target crashed: run each of them alone. Sent
+    /// on the same link before an offer or lot that contains one of them.
     Suspected(Vec<Fingerprint>),
-    /// Do this to the target.
+    /// A placement order for the target.
     Order(TargetOrder),
-    /// The newest epoch of the placement lease, read from the store.
+    /// The current epoch of the placement lease, as read from the store.
     PlacementEpoch(Epoch),
-    /// Stop taking work: the VM list or the catalogue says this VM is leaving.
+    /// Stop accepting work: the VM list or the catalogue marks this VM as leaving.
     Drain,
-    /// The VM list or the catalogue no longer says so: take work again. A sidecar that leaves by
-    /// its own will, or by an entry in force, goes on leaving.
+    /// The VM list or the catalogue no longer marks this VM as leaving: accept work again. A sidecar
+    /// that is shutting down by itself, or that an entry in force marks as leaving, keeps draining.
     Stay,
 }
 
 /// Sidecar to gateway.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GatewayMessage {
-    /// First on each link.
+    /// First message on each link.
     Welcome(SidecarWelcome),
     /// The attempt started at the target.
     Started {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// A part of the answer.
+    /// A chunk of the answer.
     Chunk {
         /// The attempt.
         attempt: AttemptId,
-        /// Bytes of the answer before this part.
+        /// Position of the chunk in the answer, bytes.
         offset: u64,
-        /// The part.
+        /// The content of the chunk.
         bytes: Payload,
     },
-    /// The answer's end mark.
+    /// The end of the answer.
     Ended {
         /// The attempt.
         attempt: AttemptId,
-        /// Bytes of the whole answer; a gateway with fewer asks for the rest.
+        /// Length of the whole answer, bytes. A gateway that has received fewer requests the rest.
         total: u64,
         /// How it ended.
         outcome: AttemptOutcome,
     },
-    /// Not taken.
+    /// The attempt was refused.
     Refused(AttemptRefusal),
     /// Answer to `Seal`.
     Sealed {
         /// The attempt.
         attempt: AttemptId,
-        /// What is known.
+        /// What the sidecar knows of the attempt.
         verdict: SealVerdict,
     },
-    /// Load now.
+    /// Current load.
     Load(LoadReport),
-    /// Asks for batch work.
+    /// Requests batch work.
     Pull(LotPull),
-    /// Items that ended, for the shard's owner.
+    /// Results of items, for the owner of the shard.
     ItemsDone {
-        /// Which shard.
+        /// The shard.
         shard: ShardId,
         /// The results.
         results: Vec<ItemResult>,
     },
-    /// Items given back, for the shard's owner.
+    /// Items returned unfinished, for the owner of the shard.
     ItemsReturned {
-        /// Which shard.
+        /// The shard.
         shard: ShardId,
         /// The items.
         returns: Vec<ItemReturn>,
     },
-    /// Fingerprints that were in flight at a crash; `alone` when it was the only one.
+    /// Fingerprints that were in flight when a target crashed.
     Suspects {
         /// The target that crashed.
         target: TargetName,
-        /// What was in flight.
+        /// Fingerprints of the attempts in flight.
         fingerprints: Vec<Fingerprint>,
-        /// Whether the crash names a single culprit.
+        /// Whether only one attempt was in flight, which makes it the cause of the crash.
         alone: bool,
     },
-    /// An order's end.
+    /// The outcome of a placement order.
     OrderEnded {
         /// The order's epoch.
         epoch: Epoch,
@@ -169,74 +169,75 @@
         /// How it ended.
         outcome: OrderOutcome,
     },
-    /// What the target holds.
+    /// The models that the target holds.
     Holdings(TargetHoldings),
-    /// Entries this sidecar has in force.
+    /// Catalogue entries that this sidecar has in force.
     EntriesInForce(Vec<EntryStamp>),
-    /// This VM is leaving: offer nothing more.
+    /// This VM is leaving: send no more offers.
     Leaving,
 }
 
-/// Anything on a link after its handshake.
+/// Any message on a link after its handshake.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LinkMessage {
-    /// Still here: sent on a link that has nothing else to carry. Not answered.
+    /// Keep-alive, sent on a link that has nothing else to send. Not answered.
     Heartbeat {
-        /// Rises with each on a link.
+        /// Increases with each heartbeat on a link.
         sequence: u64,
     },
-    /// Answer to a heartbeat; read, not sent any more.
+    /// Answer to a heartbeat. No longer sent, but still accepted.
     HeartbeatAck {
-        /// Of the heartbeat.
+        /// Sequence number of the heartbeat.
         sequence: u64,
     },
     /// Gateway to sidecar.
     ToSidecar(SidecarMessage),
     /// Sidecar to gateway.
     ToGateway(GatewayMessage),
-    /// Gateway to gateway: membership, rumours, catalogue.
+    /// Gateway to gateway: membership, rumours and catalogue.
     Gossip(GossipMessage),
-    /// Gateway to gateway: ledger shards.
+    /// Gateway to gateway: calls to the owner of a ledger shard.
     Shard(ShardCall),
-    /// Gateway to gateway: pass this on to a sidecar that the sender has no link to.
+    /// Gateway to gateway: forward this to a sidecar that the sender has no link to.
     Relay {
         /// The sidecar's VM.
         vm: VmName,
-        /// What to pass on.
+        /// The message to forward.
         message: SidecarMessage,
     },
-    /// Gateway to gateway: what do you know of this?
+    /// Gateway to gateway: requests the receiver's notes about a subject.
     ExplainAsk {
-        /// Matches the answer; unique at the asker.
+        /// Matches the answer to the question; unique at the asker.
         call: CallId,
-        /// What is asked about.
+        /// The subject of the notes.
         subject: NoteSubject,
     },
     /// Answer to `ExplainAsk`.
     ExplainAnswer {
-        /// Of the question.
+        /// Call id of the question.
         call: CallId,
-        /// JSON: the notes, oldest first; empty list when there are none.
+        /// The notes as a JSON list, oldest first; an empty list if there are none.
         notes: Payload,
     },
-    /// Gateway to gateway: what the placement holder needs to know.
+    /// Gateway to gateway: reports to the holder of the placement lease.
     Placement(PlacementMessage),
-    /// Between gateways that relay straight to targets.
+    /// Between gateways that relay requests directly to targets.
     Peer(PeerMessage),
-    /// Gateway to gateway: a target crashed with this in flight. Answered once it is known there.
+    /// Gateway to gateway: a target crashed with this fingerprint in flight. Answered once the
+    /// receiver has recorded the suspicion.
     SuspectTell {
         /// Matches the answer; unique at the sender.
         call: CallId,
-        /// The suspect.
+        /// The suspected fingerprint.
         fingerprint: Fingerprint,
         /// The VM whose target crashed.
         vm: VmName,
-        /// Whether it was the only one in flight.
+        /// Whether it was the only attempt in flight.
         alone: bool,
     },
-    /// Answer to `SuspectTell`: no send of it goes out beside others any more.
+    /// Answer to `SuspectTell`: from now on the sender sends the fingerprint only to run alone.
     SuspectHeard {
-        /// Of the news.
+        /// Call id of the `SuspectTell`.
         call: CallId,
     },
 }
--- a/crates/messages/src/gossip.rs
+++ b/crates/messages/src/gossip.rs
@@ -1,181 +1,183 @@
-//! Membership and rumours between gateways.
+//! Gossip between gateways: membership updates, rumours and catalogue synchronization.
 
 use notch_types::prelude::*;
 use serde::{Deserialize, Serialize};
 
 use crate::entry::{EntryRecord, EntryStamp};
 
-/// What a member is held to be.
+/// State that is assumed of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberState {
-    /// Answers.
+    /// It answers probes.
     Alive,
-    /// Did not answer in time; has a while to refute.
+    /// It did not answer in time; it has a limited time to refute the suspicion.
     Suspect,
-    /// Said that it is leaving.
+    /// It announced that it is leaving.
     Leaving,
-    /// Held dead.
+    /// It is considered dead.
     Dead,
 }
 
-/// News of one member. For one incarnation the later state in [`MemberState`]'s order wins;
-/// a higher incarnation wins always.
+/// Update about one member. Of two updates for the same incarnation the one with the later state
+/// in [`MemberState`]'s order wins; a higher incarnation always wins.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberUpdate {
     /// The gateway's VM.
     pub vm: VmName,
-    /// Where it listens for links, `ip:port`.
+    /// Address where it listens for links, `ip:port`.
     pub address: String,
     /// Its failure domain.
     pub domain: DomainName,
-    /// Number only the member itself raises.
+    /// Incarnation of the member; only the member itself raises it.
     pub incarnation: Incarnation,
-    /// Held state.
+    /// Assumed state.
     pub state: MemberState,
 }
 
-/// A versioned fact spread by gossip: for one topic the highest version wins.
+/// A versioned fact spread by gossip. For one topic the highest version wins.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rumor {
-    /// What it is about.
+    /// Topic of the fact.
     pub topic: RumorTopic,
     /// Orders rumours of one topic.
     pub version: u64,
-    /// The fact, encoded by the topic's own type (small: under 256 bytes).
+    /// The fact, encoded in the topic's own format; under 256 bytes.
     pub value: Payload,
 }
 
-/// What rumours are about.
+/// Topic of a rumour.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum RumorTopic {
-    /// Who owns a shard; version = epoch.
+    /// The owner of a shard; the version is the epoch.
     ShardOwner(ShardId),
-    /// Work a shard holds, by target; version rises within the epoch.
+    /// Pending work of a shard by target; the version increases within the epoch.
     ShardBacklog(ShardId),
     /// A fingerprint that crashes targets.
     Quarantine(Fingerprint),
-    /// The VM list has a target VM as leaving.
+    /// The VM list marks a target VM as leaving.
     VmLeaving(VmName),
-    /// A fingerprint that was in flight when the target of a VM crashed; the value tells whether
-    /// it was alone, and the version is higher when it was.
+    /// A fingerprint that was in flight when the target of a VM crashed. The value tells whether it
+    /// was the only one; the version is higher if it was.
     Suspect(Fingerprint, VmName),
-    /// How near a limit an account is at a gateway.
+    /// How much of its limits an account uses at a gateway.
     AccountUse(AccountName, VmName),
-    /// Who holds the placement lease; version = epoch.
+    /// The holder of the placement lease; the version is the epoch.
     PlacementHolder,
-    /// How many entries a gateway has in force, and their digest.
+    /// Number of catalogue entries that a gateway has in force, and their digest.
     EntriesInForce(VmName),
-    /// An attempt of a suspect, which no other gateway may send meanwhile; the value tells how many
-    /// milliseconds it may still run, or that it is over, and the version is higher then.
+    /// A running attempt of a suspected fingerprint, during which no other gateway may send the
+    /// fingerprint. The value tells how many milliseconds it may still run, or that it has ended;
+    /// the version is higher once it has ended.
     SuspectRun(Fingerprint, AttemptId),
 }
 
-/// One node's catalogue in a few figures.
+/// Summary of one node's catalogue.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntrySummary {
-    /// Digest of all entries' versions, in force and refused.
+    /// Digest of the versions of all entries, in force and refused.
     pub digest: u64,
-    /// Entries in force.
+    /// Number of entries in force.
     pub in_force: u32,
-    /// Entries whose newest version was refused as invalid.
+    /// Number of entries whose newest version was refused as invalid.
     pub refused: u32,
     /// Whether the catalogue is complete.
     pub complete: bool,
-    /// Sidecars whose first gateway the sender is.
+    /// Number of sidecars whose primary gateway is the sender.
     pub sidecars: u32,
-    /// Those of them that have all their entries in force.
+    /// Number of those sidecars that have all their entries in force.
     pub sidecars_current: u32,
 }
 
 /// Messages between gateways' memberships and catalogues.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GossipMessage {
-    /// Are you there?
+    /// Membership probe.
     Ping {
-        /// Matches the answer.
+        /// Matches the answer to the probe.
         sequence: u64,
-        /// News on the way.
+        /// Piggybacked membership updates.
         members: Vec<MemberUpdate>,
-        /// Facts on the way.
+        /// Piggybacked rumours.
         rumors: Vec<Rumor>,
     },
-    /// Here I am.
+    /// Answer to a ping.
     Ack {
-        /// Of the ping.
+        /// Sequence number of the ping.
         sequence: u64,
-        /// News on the way.
+        /// Piggybacked membership updates.
         members: Vec<MemberUpdate>,
-        /// Facts on the way.
+        /// Piggybacked rumours.
         rumors: Vec<Rumor>,
     },
-    /// Please ping `target` for me.
+    /// Indirect probe: requests the receiver to ping `target` on the sender's behalf.
     PingRequest {
-        /// Matches the answer.
+        /// Matches the answer to the probe.
         sequence: u64,
-        /// Whom to ping.
+        /// The member to ping.
         target: VmName,
     },
-    /// Tell me all members (at start).
+    /// Sent at start-up: requests all members.
     Join {
-        /// Who joins.
+        /// The joining member.
         member: MemberUpdate,
     },
-    /// All members.
+    /// The whole membership, in answer to `Join` or to a differing `MembersDigest`.
     Members {
-        /// All that the sender knows.
+        /// All members that the sender knows.
         members: Vec<MemberUpdate>,
     },
-    /// Anti-entropy: digest of the members that the sender holds alive or leaving. A receiver with
-    /// another digest answers with `Members`.
+    /// Anti-entropy: digest of the members that the sender considers alive or leaving. A receiver
+    /// with a different digest answers with `Members`.
     MembersDigest {
         /// The digest.
         digest: u64,
     },
-    /// News and facts that can't wait for a ping; no answer.
+    /// Updates and rumours that are too urgent to wait for a ping. Not answered.
     News {
-        /// Of members.
+        /// Membership updates.
         members: Vec<MemberUpdate>,
-        /// Facts.
+        /// Rumours.
         rumors: Vec<Rumor>,
     },
-    /// Anti-entropy: the sender's whole catalogue in one digest. A receiver with another digest
+    /// Anti-entropy: digest of the sender's whole catalogue. A receiver with a different digest
     /// answers with `EntryDigests`.
     EntryRoot(EntrySummary),
-    /// Answer with `EntryRoot`, for the survey of what is in force.
+    /// Requests an `EntryRoot`, to survey which entries are in force.
     EntryRootWanted,
-    /// Answer with `EntryDigests`, for the survey of what is in force.
+    /// Requests `EntryDigests`, to survey which entries are in force.
     EntryDigestsWanted,
     /// Anti-entropy: digests of the sender's catalogue by bucket.
     EntryDigests {
-        /// One digest a bucket, by hash of the entry's key.
+        /// One digest per bucket; entries are assigned to buckets by the hash of their keys.
         buckets: Vec<u64>,
-        /// Whether the sender's catalogue is complete; a starting node's is not.
+        /// Whether the sender's catalogue is complete; it is not while the node starts.
         complete: bool,
     },
-    /// Anti-entropy: the sender's versions in buckets that differed.
+    /// Anti-entropy: the sender's versions in the buckets that differed.
     EntryStamps {
-        /// Buckets meant.
+        /// The buckets.
         buckets: Vec<u16>,
-        /// The sender's versions in force in them.
+        /// The sender's versions in force in these buckets.
         stamps: Vec<EntryStamp>,
-        /// Newer versions in them that the sender refused as invalid.
+        /// Newer versions in these buckets that the sender refused as invalid.
         refused: Vec<EntryStamp>,
     },
-    /// Answer with `EntryStamps`, for the survey of what is in force.
+    /// Requests `EntryStamps`, to survey which entries are in force.
     EntryStampsWanted {
-        /// Buckets meant.
+        /// The buckets.
         buckets: Vec<u16>,
     },
-    /// Entries: pushed when new, or sent because the other's stamps were older.
+    /// Entries that are new, or of which the receiver's `EntryStamps` showed older versions.
     Entries {
         /// The entries.
         entries: Vec<EntryRecord>,
-        /// Buckets asked for by `EntryStamps` that are hereby answered in full; none in a push.
+        /// Buckets of the receiver's `EntryStamps` that this message answers completely; none if the
+        /// entries were pushed.
         covers: Vec<u16>,
     },
-    /// Send me these.
+    /// Requests entries.
     EntryWants {
-        /// Wanted entries, with the version known to the asker.
+        /// The wanted entries, each with the version that the asker has.
         stamps: Vec<EntryStamp>,
     },
 }
--- a/crates/messages/src/lib.rs
+++ b/crates/messages/src/lib.rs
@@ -1,7 +1,8 @@
-//! Typed messages between the system's own processes. Pure data: the link crate alone knows how
-//! they are encoded and carried.
+//! Typed messages between the system's own processes. This crate contains only data types; the
+//! link crate encodes and transports them.
 
 pub mod attempt;
+pub mod coalesce;
 pub mod entry;
 pub mod frame;
 pub mod gossip;
@@ -10,12 +11,12 @@
 pub mod order;
 pub mod peer;
 pub mod shard;
-pub mod slot;
 
 /// Every message type.
 pub mod prelude {
     pub use crate::{
         attempt::{AttemptOffer, AttemptRefusal},
+        coalesce::CoalesceKey,
         entry::{EntryBody, EntryKey, EntryKind, EntryRecord, EntryStamp},
         frame::{GatewayMessage, LinkMessage, NodeRole, SidecarMessage, SidecarWelcome},
         gossip::{GossipMessage, MemberState, MemberUpdate, Rumor, RumorTopic},
@@ -34,6 +35,5 @@
             ClaimVerdict, ItemStatus, JobChunk, JobPhase, JobProgress, JobSubmission, ResultLine,
             ShardAnswer, ShardCall, ShardRequest, StoredAnswer,
         },
-        slot::MessageSlot,
     };
 }
--- a/crates/messages/src/load.rs
+++ b/crates/messages/src/load.rs
@@ -1,9 +1,9 @@
-//! Load as sidecars report it, piggybacked on answers and heartbeats.
+//! Load reports of sidecars, piggybacked on answers and heartbeats.
 
 use notch_types::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// One target's load behind one sidecar.
+/// Load of one target behind a sidecar.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetLoad {
     /// The target.
@@ -14,24 +14,25 @@
     pub online_waiting: u32,
     /// Batch items running.
     pub batch_running: u32,
-    /// The concurrency limit in force (learned, within the catalogue's bound).
+    /// The concurrency limit in force: adaptive, within the catalogue's bound.
     pub limit: u32,
-    /// Smoothed time to first token, or whole answer of a service, microseconds.
+    /// Smoothed time to the first token, or to the whole answer of a service, microseconds.
     pub first_token_us: u64,
-    /// Whether the target answers at all.
+    /// Whether the target answers.
     pub up: bool,
 }
 
-/// All targets of a sidecar.
+/// Load of all targets of a sidecar.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// The sidecar's incarnation.
     pub incarnation: Incarnation,
-    /// Rises with each report; an older one is ignored.
+    /// Increases with each report; older reports are ignored.
     pub sequence: u64,
-    /// One line a target.
+    /// One entry per target.
     pub targets: Vec<TargetLoad>,
-    /// Digests of prompt heads that the prefix cache likely holds (hints; late, with gaps).
+    /// Digests of prompt prefixes that the prefix cache probably holds. Hints only: they may be
+    /// outdated or incomplete.
     pub warm_prefixes: Vec<u64>,
     /// Whether the sidecar is leaving.
     pub leaving: bool,
--- a/crates/messages/src/lot.rs
+++ b/crates/messages/src/lot.rs
@@ -1,4 +1,4 @@
-//! Lots of batch items: pulled, leased, ended or handed back.
+//! Lots of batch items: pulled by sidecars, leased to them, and finished or returned.
 
 use notch_types::prelude::*;
 use serde::{Deserialize, Serialize};
@@ -8,20 +8,21 @@
 pub struct ItemKey {
     /// The job.
     pub job: JobId,
-    /// The item's place in it.
+    /// The item's index in the job.
     pub item: ItemIndex,
 }
 
-/// Sidecar asks for work; its gateway passes it on to a shard owner with work for the target.
+/// A sidecar's request for work. Its gateway forwards it to the owner of a shard that has work for
+/// the target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LotPull {
-    /// Who asks.
+    /// The VM of the sidecar.
     pub vm: VmName,
-    /// The asker's incarnation.
+    /// The sidecar's incarnation.
     pub incarnation: Incarnation,
-    /// For which target.
+    /// The target to run the items on.
     pub target: TargetName,
-    /// How many items fit now.
+    /// How many items the target can take now.
     pub slots: u32,
 }
 
@@ -30,13 +31,13 @@
 pub struct LotItem {
     /// The item.
     pub key: ItemKey,
-    /// Number of this try.
+    /// Number of the attempt.
     pub attempt: u64,
     /// The item's body, JSON.
     pub body: Payload,
-    /// Output of an earlier attempt that stepped aside, to resume after.
+    /// Output of an earlier, preempted attempt, after which to resume.
     pub progress: Option<Payload>,
-    /// What it would run.
+    /// Fingerprint of the work.
     pub fingerprint: Fingerprint,
 }
 
@@ -47,25 +48,25 @@
     pub lot: LotId,
     /// The shard that owns the job.
     pub shard: ShardId,
-    /// The owner's epoch; a sidecar refuses one older than it has seen for the shard.
+    /// The owner's epoch. A sidecar refuses an epoch older than one it has seen for the shard.
     pub epoch: Epoch,
     /// The target to run them on.
     pub target: TargetName,
-    /// Whose job.
+    /// The account that submitted the job.
     pub account: AccountName,
     /// Whether items may run more than once.
     pub idempotent: bool,
-    /// The lease's length, milliseconds from the sending.
+    /// Duration of the lease, milliseconds from the sending of the grant.
     pub lease_ms: u64,
-    /// Whether the job would miss its due time at its present pace: its items may use the batch
-    /// floor share.
+    /// Whether the job would miss its due time at its current rate; its items may then use the share
+    /// of capacity that is reserved for batch work.
     #[serde(default)]
     pub urgent: bool,
     /// The items.
     pub items: Vec<LotItem>,
 }
 
-/// How an item ended at a sidecar.
+/// Outcome of an item at a sidecar.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ItemOutcome {
     /// The target's whole answer.
@@ -75,60 +76,61 @@
         /// The body.
         body: Payload,
     },
-    /// It failed; another try may do better when `retryable`.
+    /// The item failed.
     Failed {
         /// Stable code of the failure.
         reason: RefusalReason,
-        /// Whether another try may do better.
+        /// Whether a retry may succeed.
         retryable: bool,
         /// Whether it may have run.
         ran: Ran,
-        /// One sentence for a person.
+        /// One sentence for people to read.
         detail: String,
     },
 }
 
-/// Sidecar to shard owner: an item's end. Kept by the sidecar until the owner says committed.
+/// Sidecar to shard owner: the result of an item. The sidecar keeps it until the owner confirms
+/// that it is committed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ItemResult {
     /// The item.
     pub key: ItemKey,
-    /// The lot it came in.
+    /// The lot that contained the item.
     pub lot: LotId,
-    /// Number of the try.
+    /// Number of the attempt.
     pub attempt: u64,
-    /// How it ended.
+    /// The outcome.
     pub outcome: ItemOutcome,
 }
 
-/// Sidecar to shard owner: not finished, given back at no cost to its attempt count.
+/// Sidecar to shard owner: an item returned unfinished, which doesn't count as an attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ItemReturn {
     /// The item.
     pub key: ItemKey,
-    /// The lot it came in.
+    /// The lot that contained the item.
     pub lot: LotId,
-    /// Number of the try.
+    /// Number of the attempt.
     pub attempt: u64,
-    /// Why it comes back.
+    /// Why it is returned.
     pub reason: ReturnReason,
-    /// Output so far, to resume after.
+    /// Output so far, after which to resume.
     pub progress: Option<Payload>,
-    /// Whether it had started; a non-idempotent item that had is never run again.
+    /// Whether it had started; a non-idempotent item that has started is never run again.
     pub started: bool,
 }
 
-/// Why an item comes back.
+/// Why an item is returned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReturnReason {
-    /// Stepped aside for online work.
+    /// It was preempted by online work.
     Preempted,
     /// The sidecar is leaving.
     Leaving,
     /// The target crashed with it in flight.
     TargetCrashed,
-    /// Never started: no room after all.
+    /// It was never started because the target had no capacity left for it.
     NotStarted,
-    /// Its job was cancelled; acknowledges the cancellation.
+    /// Its job was cancelled; the return acknowledges the cancellation.
     Cancelled,
 }
--- a/crates/messages/src/order.rs
+++ b/crates/messages/src/order.rs
@@ -1,9 +1,9 @@
-//! Orders to targets: what to load, drop or become.
+//! Placement orders to targets: load or unload a model, or change role.
 
 use notch_types::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// What the target is to do.
+/// Action that a placement order requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderAction {
     /// Load a model at a version, with adapters.
@@ -27,34 +27,35 @@
     },
 }
 
-/// An order under a fencing token.
+/// A placement order with its fencing token.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetOrder {
-    /// Unique within the epoch; the same number again is the same order (idempotent).
+    /// Number of the order, unique within the epoch. Repeating an order under the same number has no
+    /// further effect.
     pub order: u64,
     /// The placement lease's epoch: the fencing token.
     pub epoch: Epoch,
-    /// The sidecar whose target is meant.
+    /// The VM of the sidecar whose target the order is for.
     pub vm: VmName,
-    /// What to do.
+    /// The action.
     pub action: OrderAction,
 }
 
-/// How an order ended.
+/// Outcome of an order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderOutcome {
-    /// The target did it.
+    /// The target carried out the order.
     Done,
-    /// The token is older than `current`.
+    /// The order's epoch is older than `current`.
     Stale {
-        /// The newest epoch the sidecar knows.
+        /// The newest epoch that the sidecar knows.
         current: Epoch,
     },
-    /// The sidecar restarted and has not read the current epoch yet.
+    /// The sidecar has restarted and doesn't know the current epoch yet.
     EpochUnknown,
-    /// The target refused or failed.
+    /// The target refused the order or failed to carry it out.
     Failed {
-        /// One sentence for a person.
+        /// One sentence for people to read.
         detail: String,
     },
 }
@@ -64,15 +65,15 @@
 pub struct HeldModel {
     /// The model's catalogue name.
     pub model: TargetName,
-    /// The version held.
+    /// Its version.
     pub version: String,
     /// Adapters loaded beside it, sorted.
     pub adapters: Vec<String>,
 }
 
-/// What the target beside a sidecar holds, and which orders the sidecar has ended: sent when it
-/// changes, and now and then. The placement holder trusts a copy to stay only when the report
-/// carries its own epoch: then no order of an earlier holder can take the copy down any more.
+/// The models that a sidecar's target holds, and which orders the sidecar has finished. Sent when
+/// this changes, and periodically. The placement holder relies on a copy of a model to stay loaded
+/// only if the report carries its own epoch: then no order of an earlier holder can unload the copy.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetHoldings {
     /// The sidecar's VM.
@@ -81,33 +82,34 @@
     pub domain: DomainName,
     /// The sidecar's incarnation.
     pub incarnation: Incarnation,
-    /// Rises with each report of an incarnation; an older one is ignored.
+    /// Increases with each report of an incarnation; older reports are ignored.
     pub sequence: u64,
     /// Whether the target answers.
     pub up: bool,
     /// Whether the sidecar is leaving.
     pub leaving: bool,
-    /// Models that fit into the target at once; 0 for a plain service.
+    /// Number of models that fit into the target at once; 0 for a plain service.
     pub slots: u32,
     /// The target's role.
     pub role: String,
-    /// What it holds.
+    /// The models that it holds.
     pub models: Vec<HeldModel>,
-    /// Newest placement epoch that the sidecar knows; `None` after a restart.
+    /// Newest placement epoch that the sidecar knows; `None` after a restart until it learns one.
     pub epoch: Option<Epoch>,
-    /// Highest number of the orders of that epoch that have ended here; 0 when none has.
+    /// Highest number of the orders of that epoch that have ended here; 0 if none has.
     pub ended_order: u64,
-    /// Whether an order, of whatever epoch, is at the target now, or `models` was read before the
-    /// last one ended: such a list may still show a copy that the order took down.
+    /// Whether the target is carrying out an order of any epoch, or `models` was read before the last
+    /// order ended: such a list may still contain a copy that the order unloaded.
     pub busy: bool,
 }
 
-/// Gateway to the gateway that holds the placement lease. Its orders come by relay.
+/// Gateway to the gateway that holds the placement lease. Its orders to targets of other gateways
+/// are sent with `LinkMessage::Relay`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PlacementMessage {
-    /// What targets linked to the sender hold.
+    /// The models held by the targets whose sidecars are linked to the sender.
     Holdings(Vec<TargetHoldings>),
-    /// How a relayed order ended.
+    /// Outcome of a relayed order.
     Ended {
         /// The sidecar.
         vm: VmName,
@@ -115,7 +117,7 @@
         epoch: Epoch,
         /// The order's number.
         order: u64,
-        /// How it ended.
+        /// The outcome.
         outcome: OrderOutcome,
     },
 }
--- a/crates/messages/src/peer.rs
+++ b/crates/messages/src/peer.rs
@@ -1,4 +1,4 @@
-//! Between gateways that relay straight to targets.
+//! Messages between gateways that relay requests directly to targets.
 
 use notch_relay::prelude::{
     CreditAnswer, HeldProgress, PaceFigures, QueueOffer, ResultLine, ShareTable, TargetEntry,
@@ -7,85 +7,86 @@
 use notch_types::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// Requests of one gateway at one target.
+/// Number of requests that one gateway runs at one target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetUseReport {
     /// The target's id.
     pub target: String,
-    /// Online requests under way there.
+    /// Online requests running there.
     pub online: u32,
-    /// Items under way there.
+    /// Batch items running there.
     pub batch: u32,
 }
 
-/// Work that is due by a time.
+/// Waiting work with a due time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DueWorkReport {
     /// Milliseconds left until it is due.
     pub due_in_ms: u64,
-    /// How long it would take one place, milliseconds.
+    /// Estimated time that it occupies one slot, milliseconds.
     pub work_ms: u64,
 }
 
-/// Work of one gateway that waits for the places of one service.
+/// Work of one gateway that waits for slots of one service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceDemandReport {
     /// The service.
     pub service: String,
-    /// In order of due times.
+    /// The waiting work, in order of due times.
     pub works: Vec<DueWorkReport>,
 }
 
-/// A target's entry with the store's revision of its last change.
+/// A target's entry with the store revision of its last change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionedTarget {
     /// The entry.
     pub entry: TargetEntry,
-    /// Of its last change.
+    /// Store revision of its last change.
     pub revision: u64,
 }
 
-/// A target whose entry is gone.
+/// A target whose entry was deleted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GoneTarget {
     /// Its name.
     pub name: String,
-    /// Incarnation of its last start known.
+    /// Incarnation of its last known start.
     pub born: u64,
-    /// Revision at which it was gone.
+    /// Store revision by which it was deleted.
     pub revision: u64,
 }
 
-/// A part of what changed among target entries.
+/// One part of the changes to target entries.
 ///
-/// Invariant: the parts of one answer have the same `since` and `as_of`, and count up from 0.
+/// Invariant: the parts of one answer have the same `since` and `as_of` and are numbered from 0.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetChanges {
-    /// What changed after this revision is named in the parts together; 0 for every entry there is, so
-    /// that what isn't named was gone by `as_of`.
+    /// The parts together contain all changes after this revision. 0 means that they contain every
+    /// existing entry, so that an entry that is missing was deleted by `as_of`.
     pub since: u64,
-    /// Revision that the receiver knows all of after the last part.
+    /// Revision up to which the receiver knows all changes after the last part.
     pub as_of: u64,
     /// Number of this part.
     pub part: u32,
-    /// Whether no further part follows.
+    /// Whether this is the last part.
     pub is_last: bool,
-    /// Entries that were put.
+    /// Entries that were created or changed.
     pub entries: Vec<VersionedTarget>,
-    /// Entries that are gone.
+    /// Entries that were deleted.
     pub gone: Vec<GoneTarget>,
 }
 
-/// What a gateway has for a request that needs a place.
+/// Answer to a gateway that asks for a slot.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PlaceAnswer {
-    /// A place at the target with this id, which is counted until the request's end is told.
+    /// A slot at the target with this id, which counts as used until the end of the request is
+    /// reported.
     Granted(String),
-    /// No place; the shortest queue, if requests can wait at all.
+    /// No slot is free; the shortest queue, if the request can wait.
     Denied(Option<QueueOffer>),
 }
 
-/// How a call to the store ended that one gateway made for another.
+/// Outcome of a call to the store that one gateway made on behalf of another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreCallEnd {
     /// The store answered.
@@ -95,141 +96,141 @@
         /// Its body.
         body: Payload,
     },
-    /// Surely not done.
+    /// The call certainly had no effect.
     NotDone,
-    /// It may have been done, or be done later.
+    /// The call may have taken effect, or may still do so.
     Unknown,
 }
 
-/// Gateway to gateway.
+/// Message from one gateway to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// First on each link.
+    /// First message on each link.
     Hello {
-        /// The sender's name with its incarnation, as it stands in jobs that it owns.
+        /// The sender's name with its incarnation, as recorded in jobs that it owns.
         owner: String,
-        /// Jobs that it owns and that aren't closed.
+        /// Open jobs that it owns.
         jobs: Vec<String>,
         /// How long ago its process started, milliseconds.
         up_ms: u64,
     },
-    /// What the sender uses and knows; sent when it changes and at least every second.
+    /// The sender's use of targets and the versions it knows; sent on change and at least every second.
     Report {
-        /// Its use of targets, whole.
+        /// Its complete use of targets.
         uses: Vec<TargetUseReport>,
         /// Version of its configuration in force; 0 for none.
         configuration: u64,
-        /// Store revision of the last change of targets that it knows.
+        /// Store revision of the last change to targets that it knows.
         targets: u64,
-        /// Digest over the targets that it knows: one that differs at the same revision means that one
-        /// of the two has missed a change.
+        /// Digest of the targets that it knows. A different digest at the same revision means that one of
+        /// the two gateways has missed a change.
         digest: u64,
-        /// Whether it follows the store now, so that others needn't.
+        /// Whether it watches the store now, so that other gateways need not.
         is_watching: bool,
     },
-    /// What work waits at the sender, whole; sent when it changed by much, and at least every second while
-    /// there is any.
+    /// All work that waits at the sender; sent on large changes, and at least every second while any
+    /// work waits.
     Demand {
-        /// By service.
+        /// Waiting work by service.
         demands: Vec<ServiceDemandReport>,
-        /// How long items take there.
+        /// How long items run at the sender.
         pace: PaceFigures,
     },
-    /// The sender's configuration or targets are older: send what changed.
+    /// The sender's configuration or targets are outdated: requests the changes.
     AskState {
         /// Version of the sender's configuration.
         configuration: u64,
-        /// The sender's revision of targets; 0 for a whole list.
+        /// The sender's revision of targets; 0 to request the whole list.
         targets: u64,
     },
-    /// What is newer: answer to `AskState`, or pushed by a gateway that follows the store.
+    /// Newer state: the answer to `AskState`, or pushed by a gateway that watches the store.
     State {
-        /// The configuration as the store holds it.
+        /// The configuration as it is stored.
         configuration: Option<Payload>,
-        /// Target entries.
+        /// Changes to target entries.
         targets: Option<TargetChanges>,
     },
-    /// The sender owns these jobs now.
+    /// The sender now owns these jobs.
     JobsOwned(Vec<String>),
-    /// The sender is storing the job, and doesn't know yet what becomes of it.
+    /// The sender is storing the job and doesn't know yet whether it will be accepted.
     JobStoring(String),
     /// Every result of the job is stored.
     JobClosed(String),
-    /// The client ended the job; the store has it.
+    /// The client ended the job, and the end is stored.
     JobEnded(String),
-    /// Results of a job that the receiver owns, from a position on.
+    /// Requests results of a job that the receiver owns, from a position on.
     JobAsk {
-        /// Matches the answer; unique at the asker.
+        /// Matches the answer to the call; unique at the asker.
         call: u64,
         /// The job.
         job: String,
-        /// The account for which the asker reads; empty for none.
+        /// The account on whose behalf the asker reads; empty for none.
         account: String,
-        /// Results that the asker holds already.
+        /// Number of results that the asker already has.
         after: u64,
         /// How long the answer may wait for a result, milliseconds.
         wait_ms: u64,
     },
     /// Answer to `JobAsk`.
     JobNews {
-        /// Of the question.
+        /// Id of the call.
         call: u64,
-        /// Whether the sender is sure that the list has nothing beyond what it knows: it owns the job
-        /// and is in touch, or the list is whole.
+        /// Whether the sender is certain that it knows the complete list: either it owns the job and can
+        /// reach the other gateways, or the list already has a result for every item.
         is_sure: bool,
         /// The account that sent the job; empty for none.
         account: String,
-        /// Items of the job; 0 when the sender knows nothing of it, or may not tell.
+        /// Number of items in the job; 0 if the sender doesn't know the job or may not disclose it.
         total: u64,
-        /// Stored results from the position asked for on; the first ones at least.
+        /// Stored results from the requested position on; possibly not all that the sender knows.
         lines: Vec<ResultLine>,
-        /// Whether these are all that the sender knows: the list then ends where an object of the
-        /// store ends.
+        /// Whether these are all results that the sender knows; the list then ends at the boundary of a
+        /// stored object.
         is_all: bool,
     },
-    /// The body of an item of a job that the receiver owns.
+    /// Requests the body of an item of a job that the receiver owns.
     BodyAsk {
-        /// Matches the answer; unique at the asker.
+        /// Matches the answer to the call; unique at the asker.
         call: u64,
         /// The job.
         job: String,
         /// The item.
         item: String,
-        /// The account for which the asker reads; empty for none.
+        /// The account on whose behalf the asker reads; empty for none.
         account: String,
     },
     /// Answer to `BodyAsk`.
     BodyTold {
-        /// Of the question.
+        /// Id of the call.
         call: u64,
-        /// Whether the sender can tell: it owns the job, and the body isn't too large.
+        /// Whether the sender can answer: it owns the job and the body fits into a message.
         is_known: bool,
-        /// The body; `None` when the job has no such item.
+        /// The body; `None` if the job has no such item.
         body: Option<Payload>,
     },
-    /// What the sender holds of a job's items, before it leaves the job to others.
+    /// Partial output of a job's items, sent before the sender hands the job over.
     JobProgress {
         /// The job.
         job: String,
-        /// Items that haven't ended.
+        /// Items that have not ended.
         items: Vec<HeldProgress>,
     },
-    /// A target broke a request off before its first event; the receiver counts such breaks of this
-    /// request for all gateways.
+    /// A target closed the connection of a request before its first event. The receiver counts these
+    /// failures of the request for all gateways.
     RequestBroke {
-        /// Of the request's path and body.
+        /// Fingerprint of the request's path and body.
         fingerprint: u64,
         /// The target's id.
         target: String,
     },
-    /// Several targets broke a request off: refuse it.
+    /// Several targets closed the connection of a request: refuse it from now on.
     RequestRefused {
-        /// Of the request's path and body.
+        /// Fingerprint of the request's path and body.
         fingerprint: u64,
     },
-    /// The store turns the sender away: make this call for it.
+    /// The store is unavailable to the sender: requests the receiver to make this call for it.
     StoreCall {
-        /// Matches the answer; unique at the asker.
+        /// Matches the answer to the call; unique at the asker.
         call: u64,
         /// Method of the call.
         method: String,
@@ -242,116 +243,117 @@
     },
     /// Answer to `StoreCall`.
     StoreAnswer {
-        /// Of the question.
+        /// Id of the call.
         call: u64,
-        /// How the call ended.
+        /// Outcome of the call.
         end: StoreCallEnd,
     },
-    /// A limit is used up: give back what you hold of it and don't use.
+    /// A limit is exhausted: requests the receiver to release its unused share.
     ShareAsk {
-        /// Matches the answer; unique at the asker.
+        /// Matches the answer to the call; unique at the asker.
         call: u64,
         /// The limit: its route's name.
         limit: String,
     },
     /// Answer to `ShareAsk`.
     ShareKept {
-        /// Of the question.
+        /// Id of the call.
         call: u64,
-        /// The sender with its incarnation.
+        /// The sender's name with its incarnation.
         holder: String,
-        /// What the sender still holds of the limit.
+        /// The share of the limit that the sender still holds.
         kept: u64,
-        /// How much of it ends there each second.
+        /// How much of the share is freed per second by work that ends.
         ended_per_second: u64,
     },
-    /// The shares of a limit as the store holds them since the sender's write.
+    /// The shares of a limit as stored by the sender's last write.
     Shares {
         /// The limit: its route's name.
         limit: String,
-        /// Revision of the write.
+        /// Store revision of the write.
         revision: u64,
         /// The shares.
         table: ShareTable,
     },
-    /// Grant an online request a place at one of your targets.
+    /// Requests a slot for an online request at one of the receiver's targets.
     PlaceAsk {
-        /// Matches the answer; unique at the asker.
+        /// Matches the answer to the call; unique at the asker.
         call: u64,
-        /// The service that has to run it.
+        /// The service that must run the request.
         service: String,
-        /// Targets that have failed it.
+        /// Targets at which the request has failed.
         avoid: Vec<String>,
-        /// Whether an item may be broken off for it.
+        /// Whether a batch item may be preempted for it.
         may_displace: bool,
     },
     /// Answer to `PlaceAsk`.
     PlaceAnswer {
-        /// Of the question.
+        /// Id of the call.
         call: u64,
-        /// What the sender has.
+        /// The sender's answer.
         answer: PlaceAnswer,
     },
-    /// Break off the item that began last at this target of the sender's: an online request was granted its
-    /// place.
+    /// Requests the receiver to preempt the item that it started last at this target of the sender's,
+    /// because its slot was granted to an online request.
     PlaceRevoke {
         /// The target's id.
         target: String,
     },
-    /// The sender began or ended a request at a target of the receiver.
+    /// The sender started or ended a request at a target of the receiver.
     PlaceUse {
         /// The target's id.
         target: String,
         /// The kind of work.
         work: WorkKind,
-        /// What became of it.
+        /// Whether the request started or ended.
         change: UseChange,
     },
-    /// How old is your knowledge of the configuration?
+    /// Requests the age of the receiver's knowledge of the configuration.
     AgeAsk {
-        /// Matches the answer; unique at the asker.
+        /// Matches the answer to the call; unique at the asker.
         call: u64,
     },
     /// Answer to `AgeAsk`.
     Age {
-        /// Of the question.
+        /// Id of the call.
         call: u64,
-        /// The newest version of the configuration that long ago.
+        /// The newest version of the configuration as of `age_ms` ago.
         version: u64,
-        /// Milliseconds from then to this answer; `None` when the sender has no proof.
+        /// Age of this knowledge at the time of the answer, milliseconds; `None` if the sender has never
+        /// confirmed a version.
         age_ms: Option<u64>,
     },
-    /// Grant credit of an account's limit.
+    /// Requests credit under an account's limit.
     CreditAsk {
-        /// Matches the answer; unique at the asker.
+        /// Matches the answer to the call; unique at the asker.
         call: u64,
         /// The account.
         account: AccountName,
-        /// Requests that are due, and those expected soon.
+        /// Number of requests that are waiting or expected soon.
         wanted: u32,
     },
     /// Answer to `CreditAsk`.
     CreditAnswer {
-        /// Of the question.
+        /// Id of the call.
         call: u64,
-        /// What the sender has.
+        /// The sender's answer.
         answer: CreditAnswer,
     },
-    /// The sender kept an account's limit until now; this is what was left.
+    /// The sender hands over the limiter of an account, with the remaining credit.
     CreditLeft {
         /// The account.
         account: AccountName,
-        /// Thousandths of requests that may be admitted.
+        /// Remaining credit, thousandths of a request.
         credit_milli: u64,
     },
-    /// The sender was told to stop: it still runs its jobs, but takes none over any more.
+    /// The sender is about to stop: it still runs its jobs but takes over no more.
     Stopping,
-    /// The sender stops: take its jobs over now.
+    /// The sender stops: its jobs can be taken over now.
     Leaving,
 }
 
 impl PeerMessage {
-    /// Stable name of the kind, for metrics and logs.
+    /// Stable name of the message type, for metrics and logs.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Hello { .. } => "hello",
--- a/crates/messages/src/shard.rs
+++ b/crates/messages/src/shard.rs
@@ -8,11 +8,11 @@
 /// A job whose chunks are already in the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobSubmission {
-    /// Derived by the intake.
+    /// Id derived by the gateway that received the job.
     pub job: JobId,
-    /// Whose.
+    /// The account.
     pub account: AccountName,
-    /// For which target.
+    /// The target to run the items on.
     pub target: TargetName,
     /// When it is due.
     pub due: WallTime,
@@ -20,28 +20,29 @@
     pub item_count: u32,
     /// Whether items may run more than once.
     pub idempotent: bool,
-    /// Most attempts of one item.
+    /// Maximum number of attempts for one item.
     pub max_attempts: u32,
     /// How long results stay readable after the job's end, milliseconds.
     pub retention_ms: u64,
-    /// Chunk objects in order, each with the index of its first item.
+    /// Chunk objects of the input, in order.
     pub chunks: Vec<JobChunk>,
-    /// Digest of the whole input; another input under the same key is refused.
+    /// Digest of the whole input; a different input under the same key is refused.
     pub content: u128,
 }
 
-/// A chunk object of a job's input: NDJSON lines.
+/// A chunk object that holds a part of a job's input as NDJSON lines.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobChunk {
     /// The object's key.
     pub key: String,
     /// Index of its first item.
     pub first: ItemIndex,
-    /// Age of the chunk when the submission left, milliseconds; the owner refuses old ones.
+    /// Age of the chunk when the submission was sent, milliseconds; the owner refuses chunks that are
+    /// too old.
     pub age_ms: u64,
 }
 
-/// What a shard owner can be asked.
+/// Request to the owner of a shard.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ShardRequest {
     /// Accept a job.
@@ -50,83 +51,83 @@
     CancelJob {
         /// The job.
         job: JobId,
-        /// Who asks; another's job is "not found".
+        /// The account that asks; a job of another account is "not found".
         account: AccountName,
     },
-    /// How far a job is.
+    /// Progress of a job.
     JobStatus {
         /// The job.
         job: JobId,
-        /// Who asks.
+        /// The account that asks.
         account: AccountName,
     },
     /// A page of results in input order.
     JobResults {
         /// The job.
         job: JobId,
-        /// Who asks.
+        /// The account that asks.
         account: AccountName,
-        /// First item wanted.
+        /// Index of the first item wanted.
         from: ItemIndex,
-        /// Most lines.
+        /// Maximum number of lines.
         limit: u32,
     },
-    /// Work for a sidecar.
+    /// A sidecar's pull for work.
     Pull(LotPull),
-    /// Items that ended.
+    /// Results of items.
     ItemsDone(Vec<ItemResult>),
-    /// Items given back.
+    /// Items returned unfinished.
     ItemsReturned(Vec<ItemReturn>),
     /// Claim a non-idempotent request for one attempt, before its dispatch.
     Claim {
         /// The request.
         request: RequestId,
-        /// Whose.
+        /// The account.
         account: AccountName,
         /// The attempt that will run it.
         attempt: AttemptId,
-        /// What it runs; the same key with another body is refused.
+        /// Fingerprint of the request; the same key with a different body is refused.
         fingerprint: Fingerprint,
-        /// How long the result stays readable, milliseconds.
+        /// Retention of the result, milliseconds.
         retention_ms: u64,
     },
-    /// The attempt surely never started: the claim may be taken by another attempt.
+    /// The attempt certainly never started: another attempt may take the claim.
     ReleaseClaim {
         /// The request.
         request: RequestId,
         /// The attempt that was sealed.
         attempt: AttemptId,
     },
-    /// The end of a keyed online request; the first one counts.
+    /// Stores the answer to an online request with an idempotency key; only the first answer is kept.
     StoreAnswer {
         /// The request.
         request: RequestId,
-        /// Whose.
+        /// The account.
         account: AccountName,
-        /// What it ran.
+        /// Fingerprint of the request.
         fingerprint: Fingerprint,
         /// The answer.
         answer: StoredAnswer,
-        /// How long it stays readable, milliseconds.
+        /// Retention of the answer, milliseconds.
         retention_ms: u64,
     },
-    /// The stored answer of a keyed online request.
+    /// Reads the stored answer to an online request with an idempotency key.
     FetchAnswer {
         /// The request.
         request: RequestId,
-        /// Who asks.
+        /// The account that asks.
         account: AccountName,
     },
-    /// A fingerprint is quarantined fleet-wide.
+    /// Records that a fingerprint is quarantined fleet-wide.
     RecordQuarantine {
-        /// What crashes targets.
+        /// The fingerprint that crashes targets.
         fingerprint: Fingerprint,
         /// The target's name.
         target: TargetName,
     },
 }
 
-/// A stored end of an online request.
+/// Stored outcome of an online request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoredAnswer {
     /// The target's whole answer.
@@ -136,28 +137,28 @@
         /// The body.
         body: Payload,
     },
-    /// It may have run and nobody can say how it ended.
+    /// The request may have run; its outcome can't be determined.
     Unknown,
 }
 
-/// What a claim met.
+/// Result of a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimVerdict {
-    /// Committed: this attempt alone may run it.
+    /// The claim is committed: only this attempt may run the request.
     Granted,
-    /// Another attempt holds it and may be running.
+    /// Another attempt holds the claim and may be running.
     HeldBy(AttemptId),
-    /// It has ended.
+    /// The request has already ended.
     Ended(StoredAnswer),
-    /// The key was used with another body.
+    /// The key was used with a different body.
     OtherBody,
 }
 
-/// Where a job is.
+/// Phase of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobPhase {
-    /// Accepted; items are open.
+    /// Accepted; some items have no result yet.
     Running,
     /// Cancelled; every open item ends as cancelled.
     Cancelled,
@@ -165,7 +166,7 @@
     Done,
 }
 
-/// How far a job is.
+/// Progress of a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobProgress {
     /// The job.
@@ -174,107 +175,107 @@
     pub target: TargetName,
     /// Its phase.
     pub phase: JobPhase,
-    /// When due.
+    /// When the job is due.
     pub due: WallTime,
-    /// Items in all.
+    /// Number of items.
     pub total: u32,
-    /// Items answered.
+    /// Number of items that were answered.
     pub answered: u32,
-    /// Items failed after their last attempt.
+    /// Number of items that failed in their last attempt.
     pub failed: u32,
-    /// Items cancelled.
+    /// Number of items that were cancelled.
     pub cancelled: u32,
-    /// Items leased to sidecars now.
+    /// Number of items that are leased to sidecars at present.
     pub leased: u32,
 }
 
-/// How an item stands in the ledger.
+/// State of an item in the ledger.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ItemStatus {
     /// Ended with a result.
     Ended(ItemOutcome),
-    /// Ended by the job's cancellation.
+    /// Cancelled together with the job.
     Cancelled,
     /// No result yet.
     Open,
 }
 
-/// One result.
+/// One line of a job's results.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResultLine {
     /// The item.
     pub item: ItemIndex,
-    /// The caller's own id of the line.
+    /// The id that the caller gave the item.
     pub custom_id: String,
-    /// How it stands.
+    /// The state of the item.
     pub status: ItemStatus,
 }
 
-/// A shard owner's answer. Every answer to a change comes only after the change is committed.
+/// Answer of the owner of a shard. A change is answered only after it is committed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ShardAnswer {
-    /// The job is in the ledger; `resend` tells that it was there already.
+    /// The job is in the ledger.
     JobAccepted {
-        /// How far it is.
+        /// The job's progress.
         progress: JobProgress,
-        /// Whether this was a resend.
+        /// Whether the job was in the ledger already, so that the submission was a resend.
         resend: bool,
     },
-    /// For status and cancel.
+    /// Answer to `JobStatus` and `CancelJob`.
     Job(JobProgress),
-    /// A page of results; `next` is where the following page starts, `None` at the job's end.
+    /// A page of results.
     Results {
-        /// The lines, in input order; open items are left out.
+        /// The lines in input order; items without a result are left out.
         lines: Vec<ResultLine>,
-        /// Where to go on.
+        /// First item of the next page; `None` at the end of the job.
         next: Option<ItemIndex>,
-        /// How far the job is.
+        /// The job's progress.
         progress: JobProgress,
     },
-    /// Work.
+    /// Work for the sidecar that pulled.
     Lot(LotGrant),
-    /// No work now.
+    /// No work is available at present.
     NoWork {
-        /// When to ask again, milliseconds.
+        /// When to pull again, milliseconds from now.
         retry_after_ms: u64,
     },
-    /// Results are committed (or were dropped as duplicates): the sidecar may forget them.
+    /// Results are committed, or were dropped as duplicates: the sidecar may discard them.
     ItemsSettled(Vec<crate::lot::ItemKey>),
-    /// For a claim.
+    /// Answer to `Claim`.
     Claim(ClaimVerdict),
-    /// Committed, nothing to add.
+    /// The change is committed.
     Done,
-    /// For `SubmitJob`: not accepted, because these chunks (by first item) are too old to be
-    /// named safely; write them anew and submit again.
+    /// Answer to `SubmitJob`: not accepted, because the chunks that begin with these items are too
+    /// old to be referenced safely; write them again and resubmit.
     ChunksStale(Vec<ItemIndex>),
-    /// For `FetchAnswer`.
+    /// Answer to `FetchAnswer`.
     Answer(Option<StoredAnswer>),
-    /// Not done.
+    /// The request was refused.
     Refused(Refusal),
-    /// Not the owner; perhaps this one is.
+    /// The receiver doesn't own the shard.
     NotOwner {
-        /// Who may be.
+        /// The probable owner, if known.
         owner: Option<VmName>,
     },
 }
 
-/// A call to the owner of a shard and the way back.
+/// A call to the owner of a shard, or its answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ShardCall {
-    /// The question.
+    /// The call.
     Ask {
-        /// Matches the answer; unique at the asker.
+        /// Matches the answer to the call; unique at the asker.
         call: CallId,
-        /// Which shard.
+        /// The shard.
         shard: ShardId,
-        /// What is asked.
+        /// The request.
         request: Box<ShardRequest>,
     },
     /// The answer.
     Answer {
-        /// Of the question.
+        /// Id of the call.
         call: CallId,
-        /// Which shard.
+        /// The shard.
         shard: ShardId,
         /// The owner's epoch.
         epoch: Epoch,
