--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,11 +1,11 @@
-//! What a process tells of itself: metrics, log lines for changes of state, and the notes of its
-//! decisions. Nothing here is global but the logger, which the `log` crate makes so.
+//! Telemetry of a process: metrics, log lines for state changes, and notes of decisions. Nothing
+//! here is global except the logger, which the `log` crate requires to be.
 
 pub mod logs;
 pub mod metrics;
 pub mod notes;
 
-/// The types nearly every user of this crate needs.
+/// The types that most users of this crate need.
 pub mod prelude {
     pub use crate::{
         logs::{
--- a/crates/telemetry/src/logs.rs
+++ b/crates/telemetry/src/logs.rs
@@ -1,4 +1,4 @@
-//! Log lines: key=value pairs or JSON, each with its VM and failure domain.
+//! Log lines: key=value pairs or JSON, each with the VM and failure domain of its node.
 
 mod bounded;
 mod format;
--- a/crates/telemetry/src/logs/bounded.rs
+++ b/crates/telemetry/src/logs/bounded.rs
@@ -10,14 +10,15 @@
     thread,
 };
 
-/// Lines that may wait to be written: about 200 KB, a second of a gateway's log at its peak.
+/// Maximum number of lines that wait to be written: about 200 KB, one second of a gateway's log at
+/// peak load.
 const QUEUE_LINES: usize = 1_024;
 
-/// Hands lines to a thread that writes them to standard output, and drops what finds no room.
+/// Passes lines to a thread that writes them to standard output, and drops lines when the queue is
+/// full.
 ///
-/// Whoever reads the output may stop reading; a process that writes directly would then stand still
-/// in the middle of a request. How many lines were dropped is told by the next line that gets
-/// through.
+/// If the reader of the output stops reading, a process that writes directly blocks in the middle of
+/// a request. The number of dropped lines is reported in a line after the next lines written.
 #[derive(Debug)]
 pub(crate) struct BoundedOutput {
     lines: SyncSender<Vec<u8>>,
@@ -25,7 +26,7 @@
 }
 
 impl BoundedOutput {
-    /// Starts the thread. `None` when there is none to be had.
+    /// Starts the thread. `None` if it can't be created.
     pub(crate) fn start() -> Option<Self> {
         let (lines, queue) = sync_channel(QUEUE_LINES);
         let dropped = Arc::new(AtomicU64::new(0));
@@ -51,7 +52,7 @@
 
 fn write_lines(queue: &Receiver<Vec<u8>>, dropped: &AtomicU64) {
     while let Ok(mut text) = queue.recv() {
-        // One write for all that wait: each costs a system call.
+        // All waiting lines are written at once, because each write costs a system call.
         while let Ok(more) = queue.try_recv() {
             text.extend_from_slice(&more);
         }
@@ -59,7 +60,7 @@
         if lost > 0 {
             text.extend_from_slice(format!("event=log_lines_dropped count={lost}\n").as_bytes());
         }
-        // Output that is gone can't be told of anywhere.
+        // If the output is closed there is nowhere to report the error.
         let _ = io::stdout().write_all(&text);
     }
 }
--- a/crates/telemetry/src/logs/format.rs
+++ b/crates/telemetry/src/logs/format.rs
@@ -1,4 +1,4 @@
-//! How a line is written.
+//! Format of log lines.
 
 use std::fmt::Write;
 
@@ -8,30 +8,30 @@
 };
 use serde_json::{Map, Value as JsonValue};
 
-/// How lines are written.
+/// Format of log lines.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum LogStyle {
     /// `key=value` pairs.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// One line before it is written: pairs in order, the time and level first.
+/// One log line as an ordered list of pairs, with time and level first.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct LogLine {
     pairs: Vec<(String, String)>,
 }
 
 impl LogLine {
-    /// The line of `record`, at `time`. `vm` and `domain` stand in for a record without them.
+    /// Creates the line of `record` at `time`. `vm` and `domain` are used if the record has none.
     pub fn new(time: &str, record: &Record<'_>, vm: &str, domain: &str) -> Self {
         let mut line = Self::default();
         line.push("time", time.to_owned());
         line.push("level", level_name(record.level()).to_owned());
         let mut pairs = PairCollector::default();
-        // The collector never fails, so a source can't either.
+        // The collector never returns an error.
         let _ = record.key_values().visit(&mut pairs);
         for (key, fallback) in [("vm", vm), ("domain", domain)] {
             let value = pairs.take(key).unwrap_or_else(|| fallback.to_owned());
@@ -45,7 +45,7 @@
         line
     }
 
-    /// The line as text, without its end.
+    /// The line as text without a line break.
     pub fn render(&self, style: LogStyle) -> String {
         match style {
             LogStyle::Text => self.render_text(),
@@ -62,7 +62,7 @@
             if is_plain(value) {
                 let _ = write!(text, "{key}={value}");
             } else {
-                // Quoted and escaped, so that a value can't forge a pair or a line.
+                // Quoted and escaped, so that a value can't inject another pair or line.
                 let _ = write!(text, "{key}={value:?}");
             }
         }
@@ -79,7 +79,7 @@
     }
 }
 
-/// Gathers a record's pairs.
+/// Collects the pairs of a record.
 #[derive(Default)]
 struct PairCollector(Vec<(String, String)>);
 
--- a/crates/telemetry/src/logs/node.rs
+++ b/crates/telemetry/src/logs/node.rs
@@ -1,4 +1,4 @@
-//! A node's own way to the log: many nodes may share a process and its logger.
+//! Log of one node. Several nodes may share a process and its logger.
 
 use std::fmt::Display;
 
@@ -8,17 +8,17 @@
 };
 use notch_types::prelude::*;
 
-/// Target of every line, for filters.
+/// Log target of every line, for filters.
 const LOG_TARGET: &str = "notch";
 
-/// Writes lines that carry the node's VM and failure domain, whatever thread they come from.
+/// Writes log lines with the node's VM and failure domain, from any thread.
 #[derive(Debug, Clone)]
 pub struct NodeLog {
     vm: VmName,
     domain: DomainName,
 }
 
-/// One line's pairs, borrowed.
+/// Key-value pairs of one line, borrowed.
 struct LinePairs<'a> {
     node: &'a NodeLog,
     event: &'static str,
@@ -26,32 +26,32 @@
 }
 
 impl NodeLog {
-    /// The log of the node on `vm`.
+    /// Creates the log of the node on `vm`.
     pub fn new(vm: &VmName, domain: &DomainName) -> Self {
         Self { vm: vm.clone(), domain: domain.clone() }
     }
 
-    /// A fault. `event` is a stable snake_case name.
+    /// Logs an error. `event` is a stable snake_case name.
     pub fn error(&self, event: &'static str, fields: &[(&'static str, &dyn Display)]) {
         self.write(Level::Error, event, fields);
     }
 
-    /// What may become a fault.
+    /// Logs a condition that may lead to an error.
     pub fn warn(&self, event: &'static str, fields: &[(&'static str, &dyn Display)]) {
         self.write(Level::Warn, event, fields);
     }
 
-    /// A change of state.
+    /// Logs a state change.
     pub fn info(&self, event: &'static str, fields: &[(&'static str, &dyn Display)]) {
         self.write(Level::Info, event, fields);
     }
 
-    /// A decision, for a search of faults.
+    /// Logs a decision, for debugging.
     pub fn debug(&self, event: &'static str, fields: &[(&'static str, &dyn Display)]) {
         self.write(Level::Debug, event, fields);
     }
 
-    /// One step of a decision, as it is kept for `explain`; for a search of faults.
+    /// Logs one step of a decision as it is recorded for `explain`, for debugging.
     pub fn decision(&self, note: &DecisionNote) {
         let step = &note.step;
         let vm = step.vm.as_ref().map_or("-", VmName::as_str);
--- a/crates/telemetry/src/logs/setup.rs
+++ b/crates/telemetry/src/logs/setup.rs
@@ -1,4 +1,4 @@
-//! The process's logger.
+//! Set-up of the process's logger.
 
 use std::io::Write;
 
@@ -9,28 +9,28 @@
 
 use crate::logs::{LogLine, LogStyle, bounded::BoundedOutput};
 
-/// Where lines go.
+/// Destination of log lines.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum LogOutput {
-    /// Standard error, each line written before the caller goes on.
+    /// Standard error; each line is written synchronously.
     #[default]
     StandardError,
-    /// Standard output, by a thread of its own that drops lines rather than hold anyone up.
+    /// Standard output; lines are written by a separate thread and dropped if it can't keep up.
     BoundedStandardOutput,
 }
 
-/// What the logger is set to.
+/// Settings of the logger.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LogSettings {
-    /// The least weighty lines that are written.
+    /// The least severe level that is written.
     pub level: LevelFilter,
-    /// How lines are written.
+    /// Format of the lines.
     pub style: LogStyle,
-    /// Where lines go.
+    /// Destination of log lines.
     pub output: LogOutput,
-    /// Stands on lines that name no VM, such as those of libraries.
+    /// VM of lines that name none, such as those of libraries.
     pub vm: VmName,
-    /// Stands on lines that name no failure domain.
+    /// Failure domain of lines that name none.
     pub domain: DomainName,
 }
 
@@ -47,7 +47,7 @@
 }
 
 impl LogSettings {
-    /// The log of a node's process as its settings file says.
+    /// Log settings from the settings file of a node's process.
     pub fn of(node: &NodeSettings, logging: &LoggingSettings) -> Self {
         Self {
             level: level_filter(logging.level),
@@ -62,7 +62,7 @@
     }
 }
 
-/// The filter for a level of the settings.
+/// Converts a level of the settings file to a filter.
 pub fn level_filter(level: LogLevel) -> LevelFilter {
     match level {
         LogLevel::Error => LevelFilter::Error,
@@ -73,8 +73,8 @@
     }
 }
 
-/// Starts the process's logger. Libraries are heard from `warn` up only.
-/// Returns false when a logger was already started; it then stays.
+/// Starts the process's logger. Lines of libraries are written only from level `warn` up.
+/// Returns false if a logger was already set; that one is kept.
 pub fn init_logs(settings: LogSettings) -> bool {
     let mut builder = Builder::new();
     builder.filter_level(settings.level.min(LevelFilter::Warn));
@@ -94,7 +94,8 @@
     builder.try_init().is_ok()
 }
 
-/// Sets the least weighty lines that are written from now on; never more than at the start.
+/// Changes the least severe level that is written. It can't exceed the level that the logger was
+/// started with.
 pub fn set_log_level(level: LevelFilter) {
     log::set_max_level(level);
 }
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -1,5 +1,5 @@
-//! Metrics of one node. Each node has a registry of its own, so that many nodes in one process
-//! don't share counts.
+//! Metrics of one node. Each node has its own registry, so that several nodes in one process don't
+//! share metrics.
 
 mod gauge;
 mod pair;
--- a/crates/telemetry/src/metrics/gauge.rs
+++ b/crates/telemetry/src/metrics/gauge.rs
@@ -1,56 +1,56 @@
-//! Values that go up and down.
+//! Gauges: metrics whose values can rise and fall.
 
-/// A value that goes up and down, of one node.
+/// A gauge of one node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Gauge {
-    /// Callers' connections open.
+    /// Open connections of callers.
     ConnectionsOpen,
-    /// Links up to sidecars.
+    /// Established links to sidecars.
     SidecarLinks,
-    /// Links up to gateways.
+    /// Established links to gateways.
     GatewayLinks,
-    /// Online attempts running.
+    /// Running online attempts.
     OnlineRunning,
-    /// Online attempts waiting for admission.
+    /// Online attempts that wait for admission.
     OnlineWaiting,
-    /// Batch items running.
+    /// Running batch items.
     BatchRunning,
     /// Concurrency limit in force.
     AdmissionLimit,
     /// Targets that answer.
     TargetsUp,
-    /// Circuits open.
+    /// Open circuits.
     CircuitsOpen,
-    /// Gateways held alive.
+    /// Gateways that are considered alive.
     MembersAlive,
-    /// Gateways under suspicion.
+    /// Gateways that are suspected of having failed.
     MembersSuspect,
     /// Catalogue entries in force.
     EntriesInForce,
-    /// Ledger shards owned.
+    /// Ledger shards that this gateway owns.
     ShardsOwned,
-    /// Jobs open in the shards owned.
+    /// Open jobs in the shards that this gateway owns.
     JobsOpen,
-    /// Items open in the shards owned.
+    /// Open items in the shards that this gateway owns.
     ItemsOpen,
-    /// Lots leased to sidecars.
+    /// Lots that are leased to sidecars.
     LotsLeased,
-    /// Results held until the ledger takes them, bytes.
+    /// Size of the results that are buffered until the ledger accepts them, bytes.
     ResultBufferBytes,
     /// Whether the object API answers: 1 or 0.
     StoreUp,
-    /// Epoch of the placement lease while it is held here, else 0.
+    /// Epoch of the placement lease while this gateway holds it, otherwise 0.
     PlacementEpoch,
-    /// Orders without an answer.
+    /// Placement orders without an answer.
     OrdersOpen,
-    /// Fingerprints in quarantine.
+    /// Quarantined fingerprints.
     Quarantined,
-    /// Whether the process is leaving: 1 or 0.
+    /// Whether the process is shutting down: 1 or 0.
     Leaving,
 }
 
 impl Gauge {
-    /// Every gauge, for registering.
+    /// Every gauge, so that each can be registered at start-up.
     pub const ALL: [Gauge; 22] = [
         Self::ConnectionsOpen,
         Self::SidecarLinks,
@@ -104,7 +104,7 @@
         }
     }
 
-    /// One sentence for a person.
+    /// Help text shown with the metric.
     pub fn help(self) -> &'static str {
         match self {
             Self::ConnectionsOpen => "Callers' connections open",
--- a/crates/telemetry/src/metrics/registry.rs
+++ b/crates/telemetry/src/metrics/registry.rs
@@ -1,4 +1,4 @@
-//! The metrics of one node, by the prometheus library.
+//! The Prometheus metrics of one node.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -9,66 +9,69 @@
 
 use crate::metrics::{Gauge, PairCounter, Timing};
 
-/// Prefix of every metric.
+/// Namespace prefix of every metric name.
 const PREFIX: &str = "notch";
 
-/// Every metric of one node. Cheap to share behind an `Arc`; every method takes `&self`.
+/// All metrics of one node. Every method takes `&self`, so they can be shared with an `Arc`.
 #[derive(Debug)]
 pub struct Metrics {
-    lines: LineMaker,
+    factory: MetricFactory,
     refused: FastMap<RefusalReason, IntCounter>,
     retried: FastMap<RetryReason, IntCounter>,
     dropped: FastMap<DropReason, IntCounter>,
-    /// One line an event name; names are literals of the code, so their number is bounded by it.
+    /// One series per event name. Names are string literals, which bounds the number of series.
     events: IntCounterVec,
     gauges: FastMap<Gauge, IntGauge>,
     timings: FastMap<Timing, Histogram>,
 }
 
 impl Metrics {
-    /// Metrics that carry `vm` and `domain` as labels. Every reason is there from the start, at
-    /// zero, so that a rate can be asked for before the first one happens.
+    /// Creates metrics with the labels `vm` and `domain`. The counter of every reason exists from the
+    /// start at zero, so that rates can be queried before its first increment.
     pub fn new(vm: &VmName, domain: &DomainName) -> Self {
         let labels = HashMap::from([
             ("vm".to_owned(), vm.to_string()),
             ("domain".to_owned(), domain.to_string()),
         ]);
-        let lines = LineMaker { registry: Registry::new(), labels };
-        let refused = lines.counters("refusals_total", "Refusals by reason", &["reason"]);
-        let retried = lines.counters("retries_total", "Retries by reason", &["reason"]);
-        let dropped = lines.counters("drops_total", "Drops by reason", &["reason"]);
-        let events = lines.counters("events_total", "Events by name", &["event"]);
-        let line = |vec: &IntCounterVec, code| vec.with_label_values(&[code]);
+        let factory = MetricFactory { registry: Registry::new(), labels };
+        let refused = factory.counters("refusals_total", "Refusals by reason", &["reason"]);
+        let retried = factory.counters("retries_total", "Retries by reason", &["reason"]);
+        let dropped = factory.counters("drops_total", "Drops by reason", &["reason"]);
+        let events = factory.counters("events_total", "Events by name", &["event"]);
+        let metric = |vec: &IntCounterVec, code| vec.with_label_values(&[code]);
         Self {
             refused: RefusalReason::ALL
-                .map(|r| (r, line(&refused, r.code())))
+                .map(|r| (r, metric(&refused, r.code())))
                 .into_iter()
                 .collect(),
-            retried: RetryReason::ALL.map(|r| (r, line(&retried, r.code()))).into_iter().collect(),
-            dropped: DropReason::ALL.map(|r| (r, line(&dropped, r.code()))).into_iter().collect(),
+            retried: RetryReason::ALL
+                .map(|r| (r, metric(&retried, r.code())))
+                .into_iter()
+                .collect(),
+            dropped: DropReason::ALL.map(|r| (r, metric(&dropped, r.code()))).into_iter().collect(),
             events,
-            gauges: Gauge::ALL.map(|g| (g, lines.gauge(g))).into_iter().collect(),
-            timings: Timing::ALL.map(|t| (t, lines.histogram(t))).into_iter().collect(),
-            lines,
+            gauges: Gauge::ALL.map(|g| (g, factory.gauge(g))).into_iter().collect(),
+            timings: Timing::ALL.map(|t| (t, factory.histogram(t))).into_iter().collect(),
+            factory,
         }
     }
 
-    /// A counter by two labels, shown with the other metrics.
+    /// Registers a counter with two labels.
     ///
     /// # Panics
-    /// The name isn't valid, or is taken.
+    /// The name is invalid or already registered.
     pub fn pair_counter(&self, name: &str, help: &str, labels: [&str; 2]) -> PairCounter {
-        PairCounter(self.lines.counters(name, help, &labels))
+        PairCounter(self.factory.counters(name, help, &labels))
     }
 
-    /// Counts one thing that happened.
+    /// Adds one to a counter.
     pub fn count(&self, counter: Counter) {
         self.count_many(counter, 1);
     }
 
-    /// Counts `amount` things of one kind.
+    /// Adds `amount` to a counter.
     pub fn count_many(&self, counter: Counter, amount: u64) {
-        let line = match counter {
+        let metric = match counter {
             Counter::Refused(reason) => self.refused.get(&reason),
             Counter::Retried(reason) => self.retried.get(&reason),
             Counter::Dropped(reason) => self.dropped.get(&reason),
@@ -77,86 +80,86 @@
                 None
             }
         };
-        if let Some(line) = line {
-            line.inc_by(amount);
+        if let Some(metric) = metric {
+            metric.inc_by(amount);
         }
     }
 
-    /// What a counter stands at; 0 when it never counted.
+    /// The value of a counter; 0 if it was never incremented.
     pub fn counted(&self, counter: Counter) -> u64 {
-        let line = match counter {
+        let metric = match counter {
             Counter::Refused(reason) => self.refused.get(&reason),
             Counter::Retried(reason) => self.retried.get(&reason),
             Counter::Dropped(reason) => self.dropped.get(&reason),
             Counter::Event(name) => return self.events.with_label_values(&[name]).get(),
         };
-        line.map_or(0, IntCounter::get)
+        metric.map_or(0, IntCounter::get)
     }
 
     /// Sets a gauge.
     pub fn set(&self, gauge: Gauge, value: i64) {
-        if let Some(line) = self.gauges.get(&gauge) {
-            line.set(value);
+        if let Some(metric) = self.gauges.get(&gauge) {
+            metric.set(value);
         }
     }
 
-    /// Moves a gauge up or down.
+    /// Adds `change` to a gauge.
     pub fn add(&self, gauge: Gauge, change: i64) {
-        if let Some(line) = self.gauges.get(&gauge) {
-            line.add(change);
+        if let Some(metric) = self.gauges.get(&gauge) {
+            metric.add(change);
         }
     }
 
-    /// What a gauge stands at.
+    /// The value of a gauge.
     pub fn value(&self, gauge: Gauge) -> i64 {
         self.gauges.get(&gauge).map_or(0, IntGauge::get)
     }
 
-    /// Takes a duration into its histogram.
+    /// Records a duration in its histogram.
     pub fn observe(&self, timing: Timing, duration: Duration) {
-        if let Some(line) = self.timings.get(&timing) {
-            line.observe(duration.as_secs_f64());
+        if let Some(metric) = self.timings.get(&timing) {
+            metric.observe(duration.as_secs_f64());
         }
     }
 
-    /// Everything in the text format that Prometheus reads.
+    /// All metrics in the Prometheus text format.
     pub fn render(&self) -> String {
-        // Encoding fails only for a metric without samples or name, and every one here has both.
-        TextEncoder::new().encode_to_string(&self.lines.registry.gather()).unwrap_or_default()
+        // Encoding fails only for a metric without samples or name, and all of these have both.
+        TextEncoder::new().encode_to_string(&self.factory.registry.gather()).unwrap_or_default()
     }
 }
 
-/// Makes and registers metrics that carry the node's labels.
+/// Creates and registers metrics with the node's labels.
 #[derive(Debug)]
-struct LineMaker {
+struct MetricFactory {
     registry: Registry,
     labels: HashMap<String, String>,
 }
 
-impl LineMaker {
+impl MetricFactory {
     fn opts(&self, name: &str, help: &str) -> Opts {
         Opts::new(name, help).namespace(PREFIX).const_labels(self.labels.clone())
     }
 
     fn counters(&self, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
         let opts = self.opts(name, help);
-        let line = IntCounterVec::new(opts, labels).expect("the name is valid");
-        self.registry.register(Box::new(line.clone())).expect("each name is registered once");
-        line
+        let metric = IntCounterVec::new(opts, labels).expect("the name is valid");
+        self.registry.register(Box::new(metric.clone())).expect("each name is registered once");
+        metric
     }
 
     fn gauge(&self, gauge: Gauge) -> IntGauge {
         let opts = self.opts(gauge.name(), gauge.help());
-        let line = IntGauge::with_opts(opts).expect("the name is valid");
-        self.registry.register(Box::new(line.clone())).expect("each name is registered once");
-        line
+        let metric = IntGauge::with_opts(opts).expect("the name is valid");
+        self.registry.register(Box::new(metric.clone())).expect("each name is registered once");
+        metric
     }
 
     fn histogram(&self, timing: Timing) -> Histogram {
         let opts = HistogramOpts::from(self.opts(timing.name(), timing.help()));
         let opts = opts.buckets(timing.buckets().to_vec());
-        let line = Histogram::with_opts(opts).expect("the buckets rise");
-        self.registry.register(Box::new(line.clone())).expect("each name is registered once");
-        line
+        let metric = Histogram::with_opts(opts).expect("the buckets rise");
+        self.registry.register(Box::new(metric.clone())).expect("each name is registered once");
+        metric
     }
 }
--- a/crates/telemetry/src/metrics/timing.rs
+++ b/crates/telemetry/src/metrics/timing.rs
@@ -1,42 +1,43 @@
-//! Durations whose spread matters.
+//! Durations that are recorded in histograms.
 
-/// A duration whose spread is kept as a histogram, in seconds.
+/// A duration that is recorded in a histogram, in seconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Timing {
-    /// From an online request's arrival to its first byte of answer.
+    /// From an online request's arrival to the first byte of its answer.
     OnlineFirstByte,
     /// From an online request's arrival to its end.
     OnlineTotal,
     /// Between two parts of a streamed answer.
     OnlineGap,
-    /// Wait of an online attempt for admission.
+    /// Time that an online attempt waits for admission.
     AdmissionWait,
-    /// A batch item's run at its target.
+    /// Run of a batch item at its target.
     ItemRun,
-    /// From a batch item's preemption to its slot's use by online work.
+    /// From the preemption of a batch item to the use of its slot by online work.
     PreemptionRelease,
     /// From a record's arrival to its commit.
     LedgerCommit,
     /// One call to the object API.
     StoreCall,
-    /// From an entry's write to its adoption here.
+    /// From the write of a catalogue entry to its adoption on this node.
     EntryAdoption,
-    /// From an order's first sending to its outcome.
+    /// From the first sending of a placement order to its outcome.
     OrderRun,
-    /// A read of a job's results or of an item's body.
+    /// Read of a job's results or of an item's body.
     JobRead,
-    /// One event through the control thread's decisions.
+    /// Processing of one event by the control thread.
     ControlStep,
 }
 
-/// Bucket bounds for waits of callers and of the platform: 1 ms to 2 minutes, seconds.
+/// Bucket bounds for times that callers and calls to the platform wait: 1 ms to 2 minutes, in
+/// seconds.
 const WAIT_BUCKETS: [f64; 16] =
     [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.4, 0.72, 1.0, 2.0, 5.0, 15.0, 40.0, 120.0];
-/// Bucket bounds for decisions: 1 µs to 100 ms, seconds.
+/// Bucket bounds for processing in the control thread: 1 µs to 100 ms, in seconds.
 const STEP_BUCKETS: [f64; 10] = [1e-6, 3e-6, 1e-5, 3e-5, 1e-4, 3e-4, 1e-3, 3e-3, 1e-2, 1e-1];
 
 impl Timing {
-    /// Every timing, for registering.
+    /// Every timing, so that each can be registered at start-up.
     pub const ALL: [Timing; 12] = [
         Self::OnlineFirstByte,
         Self::OnlineTotal,
@@ -70,7 +71,7 @@
         }
     }
 
-    /// One sentence for a person.
+    /// Help text shown with the metric.
     pub fn help(self) -> &'static str {
         match self {
             Self::OnlineFirstByte => "From an online request's arrival to its first byte of answer",
--- a/crates/telemetry/src/notes.rs
+++ b/crates/telemetry/src/notes.rs
@@ -1,4 +1,4 @@
-//! Notes of decisions, kept for `explain`.
+//! History of decision notes, which `explain` shows.
 
 mod history;
 mod subject;
--- a/crates/telemetry/src/notes/history.rs
+++ b/crates/telemetry/src/notes/history.rs
@@ -1,4 +1,4 @@
-//! The notes of one node, by subject.
+//! Decision notes of one node, by subject.
 
 use std::collections::BTreeMap;
 
@@ -7,12 +7,12 @@
 
 use crate::notes::SubjectNotes;
 
-/// Bounds of a book of notes.
+/// Limits of a history.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NoteHistorySettings {
-    /// Most subjects; the one that was noted longest ago goes first.
+    /// Maximum number of subjects. The subject whose last note is oldest is evicted first.
     pub subjects: usize,
-    /// Most notes of one subject.
+    /// Maximum number of notes per subject.
     pub notes: usize,
 }
 
@@ -22,54 +22,55 @@
     }
 }
 
-/// One subject's notes and its place in the order of use.
+/// Notes of one subject and its position in the eviction order.
 #[derive(Debug)]
-struct BookPage {
-    /// Key of this page in `order`.
-    turn: u64,
+struct SubjectRecord {
+    /// Key of this subject in `eviction_order`.
+    sequence: u64,
     notes: SubjectNotes,
 }
 
-/// The notes of one node. Both bounds hold at all times: at most `subjects` pages of at most
-/// `notes` entries.
+/// Decision notes of one node. Both limits hold at all times: at most `subjects` subjects with at
+/// most `notes` entries each.
 #[derive(Debug, Default)]
 pub struct NoteHistory {
     settings: NoteHistorySettings,
-    pages: FastMap<NoteSubject, BookPage>,
-    /// Subjects by the turn of their last note; the same subjects as in `pages`.
-    order: BTreeMap<u64, NoteSubject>,
-    turn: u64,
+    records: FastMap<NoteSubject, SubjectRecord>,
+    /// Subjects by the sequence number of their last note; the same subjects as in `records`.
+    eviction_order: BTreeMap<u64, NoteSubject>,
+    sequence: u64,
 }
 
 impl NoteHistory {
-    /// An empty book.
+    /// Creates an empty history.
     pub fn new(settings: NoteHistorySettings) -> Self {
         Self { settings, ..Self::default() }
     }
 
-    /// Writes a note down.
+    /// Records a note.
     pub fn record(&mut self, now: Now, note: DecisionNote) {
-        self.turn += 1;
+        self.sequence += 1;
         let DecisionNote { subject, step } = note;
-        match self.pages.get_mut(&subject) {
-            Some(page) => {
-                self.order.remove(&page.turn);
-                page.turn = self.turn;
-                page.notes.add(now.wall, step, self.settings.notes.max(1));
+        match self.records.get_mut(&subject) {
+            Some(record) => {
+                self.eviction_order.remove(&record.sequence);
+                record.sequence = self.sequence;
+                record.notes.add(now.wall, step, self.settings.notes.max(1));
             }
             None => {
-                self.make_room();
+                self.evict_oldest();
                 let mut notes = SubjectNotes::default();
                 notes.add(now.wall, step, self.settings.notes.max(1));
-                self.pages.insert(subject.clone(), BookPage { turn: self.turn, notes });
+                self.records
+                    .insert(subject.clone(), SubjectRecord { sequence: self.sequence, notes });
             }
         }
-        self.order.insert(self.turn, subject);
+        self.eviction_order.insert(self.sequence, subject);
     }
 
-    /// The notes of a subject; `None` when there are none (any more).
+    /// The notes of a subject; `None` if there are none or they were evicted.
     pub fn lookup(&self, subject: &NoteSubject) -> Option<&SubjectNotes> {
-        self.pages.get(subject).map(|page| &page.notes)
+        self.records.get(subject).map(|record| &record.notes)
     }
 
     /// The notes of a subject as `explain` shows them.
@@ -77,20 +78,20 @@
         self.lookup(subject).map(|notes| notes.to_json(subject))
     }
 
-    /// Subjects with notes.
+    /// Number of subjects with notes.
     pub fn len(&self) -> usize {
-        self.pages.len()
+        self.records.len()
     }
 
-    /// Whether nothing is noted.
+    /// Whether there are no notes.
     pub fn is_empty(&self) -> bool {
-        self.pages.is_empty()
+        self.records.is_empty()
     }
 
-    fn make_room(&mut self) {
-        while self.pages.len() >= self.settings.subjects.max(1) {
-            let Some((_, oldest)) = self.order.pop_first() else { return };
-            self.pages.remove(&oldest);
+    fn evict_oldest(&mut self) {
+        while self.records.len() >= self.settings.subjects.max(1) {
+            let Some((_, oldest)) = self.eviction_order.pop_first() else { return };
+            self.records.remove(&oldest);
         }
     }
 }
--- a/crates/telemetry/src/notes/subject.rs
+++ b/crates/telemetry/src/notes/subject.rs
@@ -1,4 +1,4 @@
-//! The notes of one subject.
+//! Decision notes of one subject.
 
 use std::{
     collections::VecDeque,
@@ -8,16 +8,16 @@
 use notch_types::prelude::*;
 use serde_json::{Value, json};
 
-/// One step, with the times of its first and last happening.
+/// A step with the times of its first and last occurrence.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NoteEntry {
-    /// When it first happened.
+    /// Time of the first occurrence.
     pub first: WallTime,
-    /// When it last happened.
+    /// Time of the last occurrence.
     pub last: WallTime,
-    /// How often in a row; at least 1.
+    /// Number of consecutive occurrences; at least 1.
     pub times: u32,
-    /// The step; of the last happening.
+    /// The step as of its last occurrence.
     pub step: NoteStep,
 }
 
@@ -35,8 +35,7 @@
         })
     }
 
-    /// Whether `step` merely repeats this one: the same decision for the same reason at the same
-    /// VM, whatever figures it used.
+    /// Whether `step` repeats this one: the same code, VM and reason; the detail may differ.
     fn repeats(&self, step: &NoteStep) -> bool {
         self.step.code == step.code && self.step.vm == step.vm && self.step.reason == step.reason
     }
@@ -45,14 +44,14 @@
 /// The newest notes of one subject, oldest first.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SubjectNotes {
-    /// At most as many as the book's settings allow.
+    /// The entries, limited by [`NoteHistorySettings`](crate::notes::NoteHistorySettings).
     pub entries: VecDeque<NoteEntry>,
-    /// Older entries that had to go.
+    /// Number of older entries that were evicted.
     pub forgotten: u64,
 }
 
 impl SubjectNotes {
-    /// Adds a step, or counts it when it repeats the last one. Keeps at most `bound` entries.
+    /// Adds a step, or counts an occurrence if it repeats the last step. Keeps at most `bound` entries.
     pub(crate) fn add(&mut self, at: WallTime, step: NoteStep, bound: usize) {
         if let Some(last) = self.entries.back_mut().filter(|last| last.repeats(&step)) {
             last.last = at;
@@ -81,7 +80,7 @@
 }
 
 fn rfc3339(time: WallTime) -> String {
-    /// 9999-12-31, the last day the format can write; a later time is a broken clock's.
+    /// 9999-12-31, the last day that the format can represent; a later time comes from a faulty clock.
     const LAST_MS: u64 = 253_402_214_400_000;
     let time = UNIX_EPOCH + Duration::from_millis(time.0.min(LAST_MS));
     humantime::format_rfc3339_millis(time).to_string()
