--- a/crates/link/tests/links.rs
+++ b/crates/link/tests/links.rs
@@ -1,4 +1,5 @@
-//! Links over loopback: proof of the secret, order, replacement of dead and silent connections.
+//! Links over loopback: authentication, order of messages, and replacement of failed and silent
+//! connections.
 
 #![allow(clippy::unwrap_used, reason = "a failed step of the set-up is the failure of the test")]
 
@@ -91,15 +92,18 @@
     }
 }
 
-// Symptom: a stranger that reaches the port orders targets or answers for a peer.
-// Sequence: it connects with another secret (or the right secret but another VM's name).
-// Cause: a link trusted for its address alone.
+// Guards against links that are trusted for their address alone: any process that reaches the
+// port, with a wrong secret or as a different VM, could send orders to targets or act as a peer.
 #[rstest]
 #[case::wrong_secret("a-secret", "b-secret", "b")]
 #[case::empty_secret("a-secret", "", "b")]
 #[case::wrong_vm("same", "same", "c")]
 #[async_std::test]
-async fn a_stranger_gets_no_link(#[case] ours: &str, #[case] theirs: &str, #[case] expected: &str) {
+async fn an_unauthenticated_peer_gets_no_link(
+    #[case] ours: &str,
+    #[case] theirs: &str,
+    #[case] expected: &str,
+) {
     let (sink_b, events_b) = sink();
     let listener =
         LinkListener::start(ANY_PORT.parse().unwrap(), settings("b", ours), sink_b).await.unwrap();
@@ -118,9 +122,8 @@
     }
 }
 
-// Symptom: a recorded handshake opens a link later.
-// Sequence: an eavesdropper keeps the dialler's bytes of a good handshake and sends them again.
-// Cause: a proof that doesn't depend on a nonce of the listener.
+// Guards against proofs that don't depend on a nonce of the listener: an eavesdropper could record
+// the dialler's bytes of a successful handshake and replay them.
 #[async_std::test]
 async fn a_replayed_handshake_is_refused() {
     let (sink_b, events_b) = sink();
@@ -145,9 +148,8 @@
     assert!(events_b.try_recv().is_err());
 }
 
-// Symptom: a link hangs for good; requests on it wait until their deadlines.
-// Sequence: something between the two ends stops passing bytes but keeps both connections open.
-// Cause: nothing is ever written to a reader, so no end sees an error.
+// Guards against links that hang forever when a middlebox stops forwarding bytes but keeps both
+// connections open: neither end gets an error, and requests wait until their deadlines.
 #[async_std::test]
 async fn a_silent_connection_is_replaced() {
     let (sink_b, events_b) = sink();
@@ -166,9 +168,8 @@
     assert_eq!(next_message(&events_b).await, ping(7));
 }
 
-// Symptom: after a peer's restart every send fails although the peer is back.
-// Sequence: the listener stops and another starts on the same port.
-// Cause: a dialler that gives up after its first loss.
+// Guards against a dialler that gives up after the first loss: every send would fail after a peer
+// restarted on the same port.
 #[async_std::test]
 async fn a_restarted_peer_is_dialled_again() {
     let (sink_b, _events_b) = sink();
@@ -187,7 +188,7 @@
     assert_eq!(next_message(&events_b).await, ping(1));
 }
 
-/// Passes bytes both ways and records what the dialler sent.
+/// Forwards bytes in both directions and records those that the dialler sent.
 async fn recording_proxy(target: SocketAddr) -> (SocketAddr, Receiver<Vec<u8>>) {
     let (sender, receiver) = async_channel::unbounded();
     let listener = TcpListener::bind(ANY_PORT).await.unwrap();
@@ -195,15 +196,15 @@
     task::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             let onward = TcpStream::connect(target).await.unwrap();
-            task::spawn(pass(onward.clone(), stream.clone(), None, None));
-            task::spawn(pass(stream, onward, Some(sender.clone()), None));
+            task::spawn(forward(onward.clone(), stream.clone(), None, None));
+            task::spawn(forward(stream, onward, Some(sender.clone()), None));
         }
     });
     (address, receiver)
 }
 
-/// Passes bytes both ways; after a message on the channel, the connections that stand are kept
-/// open and pass nothing more, while new ones work.
+/// Forwards bytes in both directions. After a message on the channel the first connection stays
+/// open but forwards nothing more, while new connections work.
 async fn freezing_proxy(target: SocketAddr) -> (SocketAddr, Sender<()>) {
     let (freeze, frozen) = async_channel::bounded::<()>(1);
     let listener = TcpListener::bind(ANY_PORT).await.unwrap();
@@ -213,14 +214,14 @@
         while let Ok((stream, _)) = listener.accept().await {
             let onward = TcpStream::connect(target).await.unwrap();
             let stop = std::mem::take(&mut first).then(|| frozen.clone());
-            task::spawn(pass(onward.clone(), stream.clone(), None, stop.clone()));
-            task::spawn(pass(stream, onward, None, stop));
+            task::spawn(forward(onward.clone(), stream.clone(), None, stop.clone()));
+            task::spawn(forward(stream, onward, None, stop));
         }
     });
     (address, freeze)
 }
 
-async fn pass(
+async fn forward(
     mut from: TcpStream,
     mut to: TcpStream,
     record: Option<Sender<Vec<u8>>>,
@@ -247,8 +248,8 @@
         cases: 512, rng_seed: RngSeed::Fixed(11), failure_persistence: None, ..Config::default()
     })]
 
-    // Symptom: one bad frame takes a process down. Sequence: any bytes arrive on a link.
-    // Cause: a decoder that trusts lengths or indexes.
+    // Guards against a decoder that trusts lengths or indexes: one invalid frame on a link could
+    // crash the process.
     #[test]
     fn any_bytes_decode_or_fail_cleanly(bytes in proptest::collection::vec(any::<u8>(), 0..512)) {
         let _ = codec::decode::<LinkMessage>(&bytes);
--- a/crates/link/tests/queue.rs
+++ b/crates/link/tests/queue.rs
@@ -1,4 +1,4 @@
-//! What waits on a link whose other end reads slowly.
+//! Send queue of a link whose other end reads slowly.
 
 #![allow(clippy::unwrap_used, reason = "a failed step of the set-up is the failure of the test")]
 
@@ -28,7 +28,7 @@
     std::iter::from_fn(|| queue.try_pop()).collect()
 }
 
-// Guards against memory that grows with what a slow peer hasn't read.
+// Guards against memory use that grows with the messages that a slow peer hasn't read.
 #[test]
 fn a_full_queue_refuses_by_bytes() {
     let queue = queue(2_000);
@@ -44,7 +44,7 @@
     assert_eq!(waiting(&queue), expected);
 }
 
-// Guards against a message that can never be sent as it is longer than all that may wait.
+// Guards against messages that can never be sent because they exceed the size limit of the queue.
 #[test]
 fn a_message_longer_than_the_queue_waits_alone() {
     let queue = queue(50);
@@ -53,7 +53,7 @@
     assert_eq!(waiting(&queue), [job_closed(1)]);
 }
 
-// Guards against old states that are sent before the newest one to a peer that reads slowly.
+// Guards against sending outdated states before the newest one to a slow peer.
 #[test]
 fn a_newer_state_replaces_the_one_that_waits() {
     let queue = queue(2_000);
@@ -66,7 +66,8 @@
     assert_eq!(waiting(&queue), [job_closed(1), job_closed(2), report(1_001)]);
 }
 
-// Guards against a writer that waits for ever, and against messages lost with a close.
+// Guards against a writer that waits forever, and against messages that are lost when the queue is
+// closed.
 #[test]
 fn a_closed_queue_gives_out_what_it_holds() {
     let queue = queue(2_000);
--- a/crates/telemetry/tests/logs.rs
+++ b/crates/telemetry/tests/logs.rs
@@ -1,4 +1,4 @@
-//! Log lines: pairs and JSON, from a node's own log and from libraries.
+//! Log lines as pairs and as JSON, from a node's log and from libraries.
 
 use std::sync::Mutex;
 
@@ -10,7 +10,7 @@
     test_runner::{Config, RngSeed},
 };
 
-/// Keeps the lines instead of writing them.
+/// Collects the lines instead of writing them.
 struct LineKeeper(Mutex<Vec<LogLine>>);
 
 static KEEPER: LineKeeper = LineKeeper(Mutex::new(Vec::new()));
@@ -57,7 +57,7 @@
         rng_seed: RngSeed::Fixed(3), cases: 256, failure_persistence: None, ..Config::default()
     })]
 
-    /// Whatever a message holds, it stays one line, and one pair.
+    /// Whatever a message contains, it is written as one line and one pair.
     #[test]
     fn a_message_can_t_forge_a_line(message in any::<String>()) {
         let line = LogLine::new(
--- a/crates/telemetry/tests/metrics.rs
+++ b/crates/telemetry/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics: every reason is there from the start, and counts stay apart.
+//! Metrics: every reason is exported from the start, and nodes don't share counts.
 
 use std::time::Duration;
 
--- a/crates/telemetry/tests/notes.rs
+++ b/crates/telemetry/tests/notes.rs
@@ -1,4 +1,4 @@
-//! The book of notes, against a naive one that keeps everything.
+//! The note history, compared with a reference implementation that keeps every note.
 
 use notch_telemetry::prelude::*;
 use notch_types::prelude::*;
@@ -11,17 +11,17 @@
 const SUBJECTS: usize = 3;
 const NOTES: usize = 4;
 
-/// Every note ever, in order: (time, subject, step).
-type NaiveBook = Vec<(u64, u8, NoteStep)>;
+/// Every recorded note, in order: (time, subject, step).
+type NaiveHistory = Vec<(u64, u8, NoteStep)>;
 
 fn subject(number: u8) -> NoteSubject {
     NoteSubject::Vm(VmName::new(&format!("vm-{number}")))
 }
 
-/// Subjects still known: the `SUBJECTS` noted last.
-fn naive_subjects(book: &NaiveBook) -> Vec<u8> {
+/// Subjects that are still known: the `SUBJECTS` with the newest notes.
+fn naive_subjects(history: &NaiveHistory) -> Vec<u8> {
     let mut known: Vec<u8> = Vec::new();
-    for (_, subject, _) in book.iter().rev() {
+    for (_, subject, _) in history.iter().rev() {
         if !known.contains(subject) {
             known.push(*subject);
         }
@@ -30,11 +30,11 @@
     known
 }
 
-/// The entries of a subject since it was last forgotten, repeats merged.
-fn naive_entries(book: &NaiveBook, wanted: u8) -> Vec<(u64, u64, u32, NoteStep)> {
+/// The entries of a subject since it was last evicted, with repetitions merged.
+fn naive_entries(history: &NaiveHistory, wanted: u8) -> Vec<(u64, u64, u32, NoteStep)> {
     let mut entries: Vec<(u64, u64, u32, NoteStep)> = Vec::new();
-    for (index, (at, subject, step)) in book.iter().enumerate() {
-        if !naive_subjects(&book[..=index].to_vec()).contains(&wanted) {
+    for (index, (at, subject, step)) in history.iter().enumerate() {
+        if !naive_subjects(&history[..=index].to_vec()).contains(&wanted) {
             entries.clear();
         }
         if *subject != wanted {
@@ -59,21 +59,21 @@
     })]
 
     #[test]
-    fn the_book_keeps_the_newest_notes_of_the_newest_subjects(
+    fn the_history_keeps_the_newest_notes_of_the_newest_subjects(
         notes in prop::collection::vec((0_u8..5, 0_usize..3, prop::option::of(0_u8..2)), 0..60),
     ) {
         let settings = NoteHistorySettings { subjects: SUBJECTS, notes: NOTES };
-        let mut book = NoteHistory::new(settings);
-        let mut naive = NaiveBook::new();
+        let mut history = NoteHistory::new(settings);
+        let mut naive = NaiveHistory::new();
         for (at, (number, code, vm)) in notes.into_iter().enumerate() {
             let mut note = DecisionNote::new(subject(number), CODES[code], format!("at {at}"));
             note.step.vm = vm.map(|vm| VmName::new(&format!("vm-{vm}")));
             naive.push((at as u64, number, note.step.clone()));
-            book.record(Now::at_millis(at as u64), note);
-            prop_assert!(book.len() <= SUBJECTS);
+            history.record(Now::at_millis(at as u64), note);
+            prop_assert!(history.len() <= SUBJECTS);
             let known = naive_subjects(&naive);
             for number in 0..5 {
-                let found = book.lookup(&subject(number));
+                let found = history.lookup(&subject(number));
                 prop_assert_eq!(found.is_some(), known.contains(&number));
                 let Some(found) = found else { continue };
                 let all = naive_entries(&naive, number);
@@ -90,14 +90,14 @@
 
 #[test]
 fn explain_shows_times_reasons_and_repeats() {
-    let mut book = NoteHistory::default();
+    let mut history = NoteHistory::default();
     let request = RequestId(7);
     let vm = VmName::new("a");
     for at in [1_000, 2_500] {
         let note = DecisionNote::new(NoteSubject::Request(request), "refused", format!("{at}"));
-        book.record(Now::at_millis(at), note.with_vm(&vm).with_reason("overloaded"));
+        history.record(Now::at_millis(at), note.with_vm(&vm).with_reason("overloaded"));
     }
-    let json = book.explain(&NoteSubject::Request(request)).expect("noted");
+    let json = history.explain(&NoteSubject::Request(request)).expect("noted");
     let expected = serde_json::json!({
         "kind": "request",
         "subject": request.to_string(),
@@ -108,8 +108,11 @@
         }],
     });
     assert_eq!(json, expected);
-    assert_eq!(book.explain(&NoteSubject::Vm(vm)), None);
+    assert_eq!(history.explain(&NoteSubject::Vm(vm)), None);
     let far = DecisionNote::new(NoteSubject::Request(request), "routed", String::new());
-    book.record(Now { mono: MonoTime(0), wall: WallTime(u64::MAX) }, far);
-    assert!(book.explain(&NoteSubject::Request(request)).is_some(), "a broken clock is no panic");
+    history.record(Now { mono: MonoTime(0), wall: WallTime(u64::MAX) }, far);
+    assert!(
+        history.explain(&NoteSubject::Request(request)).is_some(),
+        "a faulty clock causes no panic"
+    );
 }
