--- a/crates/link/tests/queue.rs
+++ b/crates/link/tests/queue.rs
@@ -46,7 +46,7 @@
 
 // Guards against messages that can never be sent because they exceed the size limit of the queue.
 #[test]
-fn a_message_longer_than_the_queue_waits_alone() {
+fn a_message_larger_than_the_queue_is_queued_alone() {
     let queue = queue(50);
     assert_eq!(queue.try_push(job_closed(1)), Ok(()));
     assert_eq!(queue.try_push(job_closed(2)), Err(LinkError::Full));
@@ -55,7 +55,7 @@
 
 // Guards against sending outdated states before the newest one to a slow peer.
 #[test]
-fn a_newer_state_replaces_the_one_that_waits() {
+fn a_newer_state_replaces_the_queued_one() {
     let queue = queue(2_000);
     queue.try_push(job_closed(1)).unwrap();
     for configuration in 1..=1_000 {
@@ -69,7 +69,7 @@
 // Guards against a writer that waits forever, and against messages that are lost when the queue is
 // closed.
 #[test]
-fn a_closed_queue_gives_out_what_it_holds() {
+fn a_closed_queue_can_be_drained() {
     let queue = queue(2_000);
     queue.try_push(job_closed(1)).unwrap();
     queue.close();
--- a/crates/telemetry/tests/logs.rs
+++ b/crates/telemetry/tests/logs.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_node_s_lines_carry_its_own_vm_and_nothing_below_the_level() {
+fn a_nodes_lines_have_its_vm_and_respect_the_level() {
     log::set_logger(&KEEPER).expect("the only logger of this process");
     assert!(!init_logs(LogSettings::default()), "the first logger stays");
     log::set_max_level(LevelFilter::Info);
@@ -59,7 +59,7 @@
 
     /// Whatever a message contains, it is written as one line and one pair.
     #[test]
-    fn a_message_can_t_forge_a_line(message in any::<String>()) {
+    fn a_message_cannot_inject_a_line(message in any::<String>()) {
         let line = LogLine::new(
             "T",
             &Record::builder().level(Level::Info).args(format_args!("{message}")).build(),
