--- a/crates/messages/src/frame.rs
+++ b/crates/messages/src/frame.rs
@@ -38,7 +38,7 @@
     pub load: LoadReport,
 }
 
-/// Gateway to sidecar.
+/// Message from a gateway to a sidecar.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SidecarMessage {
     /// Offers an online attempt to run.
@@ -96,7 +96,7 @@
     Stay,
 }
 
-/// Sidecar to gateway.
+/// Message from a sidecar to a gateway.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GatewayMessage {
     /// First message on each link.
@@ -121,7 +121,7 @@
         attempt: AttemptId,
         /// Length of the whole answer, bytes. A gateway that has received fewer requests the rest.
         total: u64,
-        /// How it ended.
+        /// The outcome.
         outcome: AttemptOutcome,
     },
     /// The attempt was refused.
@@ -166,7 +166,7 @@
         epoch: Epoch,
         /// The order's number.
         order: u64,
-        /// How it ended.
+        /// The outcome.
         outcome: OrderOutcome,
     },
     /// The models that the target holds.
@@ -190,9 +190,9 @@
         /// Sequence number of the heartbeat.
         sequence: u64,
     },
-    /// Gateway to sidecar.
+    /// Message from a gateway to a sidecar.
     ToSidecar(SidecarMessage),
-    /// Sidecar to gateway.
+    /// Message from a sidecar to a gateway.
     ToGateway(GatewayMessage),
     /// Gateway to gateway: membership, rumours and catalogue.
     Gossip(GossipMessage),
--- a/crates/messages/src/gossip.rs
+++ b/crates/messages/src/gossip.rs
@@ -39,7 +39,7 @@
 pub struct Rumor {
     /// Topic of the fact.
     pub topic: RumorTopic,
-    /// Orders rumours of one topic.
+    /// Version by which rumours of one topic are ordered.
     pub version: u64,
     /// The fact, encoded in the topic's own format; under 256 bytes.
     pub value: Payload,
@@ -88,7 +88,7 @@
     pub sidecars_current: u32,
 }
 
-/// Messages between gateways' memberships and catalogues.
+/// Gossip message between gateways.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GossipMessage {
     /// Membership probe.
--- a/crates/messages/src/order.rs
+++ b/crates/messages/src/order.rs
@@ -6,7 +6,7 @@
 /// Action that a placement order requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderAction {
-    /// Load a model at a version, with adapters.
+    /// Loads a version of a model with adapters.
     Load {
         /// The model's catalogue name.
         model: TargetName,
@@ -15,12 +15,12 @@
         /// Adapters to load beside it.
         adapters: Vec<String>,
     },
-    /// Unload a model.
+    /// Unloads a model.
     Unload {
         /// The model's catalogue name.
         model: TargetName,
     },
-    /// Change role (for example `serve`, `prefill`, `standby`).
+    /// Changes the target's role, for example to `serve`, `prefill` or `standby`.
     Role {
         /// The role's name.
         role: String,
--- a/crates/messages/src/peer.rs
+++ b/crates/messages/src/peer.rs
@@ -168,7 +168,7 @@
         account: String,
         /// Number of results that the asker already has.
         after: u64,
-        /// How long the answer may wait for a result, milliseconds.
+        /// Maximum time that the answer may wait for a result, milliseconds.
         wait_ms: u64,
     },
     /// Answer to `JobAsk`.
@@ -238,7 +238,7 @@
         path: String,
         /// Its body.
         body: Option<Payload>,
-        /// Longest wait for the store's answer, milliseconds.
+        /// Maximum wait for the store's answer, milliseconds.
         wait_ms: u64,
     },
     /// Answer to `StoreCall`.
@@ -252,7 +252,7 @@
     ShareAsk {
         /// Matches the answer to the call; unique at the asker.
         call: u64,
-        /// The limit: its route's name.
+        /// The limit, identified by the name of its route.
         limit: String,
     },
     /// Answer to `ShareAsk`.
@@ -268,7 +268,7 @@
     },
     /// The shares of a limit as stored by the sender's last write.
     Shares {
-        /// The limit: its route's name.
+        /// The limit, identified by the name of its route.
         limit: String,
         /// Store revision of the write.
         revision: u64,
--- a/crates/messages/src/shard.rs
+++ b/crates/messages/src/shard.rs
@@ -22,7 +22,7 @@
     pub idempotent: bool,
     /// Maximum number of attempts for one item.
     pub max_attempts: u32,
-    /// How long results stay readable after the job's end, milliseconds.
+    /// Retention of the results after the job's end, milliseconds.
     pub retention_ms: u64,
     /// Chunk objects of the input, in order.
     pub chunks: Vec<JobChunk>,
@@ -45,23 +45,23 @@
 /// Request to the owner of a shard.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ShardRequest {
-    /// Accept a job.
+    /// Submits a job.
     SubmitJob(JobSubmission),
-    /// Cancel a job of the account.
+    /// Cancels a job.
     CancelJob {
         /// The job.
         job: JobId,
         /// The account that asks; a job of another account is "not found".
         account: AccountName,
     },
-    /// Progress of a job.
+    /// Requests the progress of a job.
     JobStatus {
         /// The job.
         job: JobId,
         /// The account that asks.
         account: AccountName,
     },
-    /// A page of results in input order.
+    /// Requests a page of results in input order.
     JobResults {
         /// The job.
         job: JobId,
@@ -78,7 +78,7 @@
     ItemsDone(Vec<ItemResult>),
     /// Items returned unfinished.
     ItemsReturned(Vec<ItemReturn>),
-    /// Claim a non-idempotent request for one attempt, before its dispatch.
+    /// Claims a non-idempotent request for one attempt before it is dispatched.
     Claim {
         /// The request.
         request: RequestId,
@@ -91,7 +91,7 @@
         /// Retention of the result, milliseconds.
         retention_ms: u64,
     },
-    /// The attempt certainly never started: another attempt may take the claim.
+    /// Releases the claim of an attempt that certainly never started, so that another may take it.
     ReleaseClaim {
         /// The request.
         request: RequestId,
@@ -160,7 +160,7 @@
 pub enum JobPhase {
     /// Accepted; some items have no result yet.
     Running,
-    /// Cancelled; every open item ends as cancelled.
+    /// Cancelled; every item without a result ends as cancelled.
     Cancelled,
     /// Every item has its result.
     Done,
--- a/crates/telemetry/src/metrics/timing.rs
+++ b/crates/telemetry/src/metrics/timing.rs
@@ -7,7 +7,7 @@
     OnlineFirstByte,
     /// From an online request's arrival to its end.
     OnlineTotal,
-    /// Between two parts of a streamed answer.
+    /// Between two chunks of a streamed answer.
     OnlineGap,
     /// Time that an online attempt waits for admission.
     AdmissionWait,
@@ -15,7 +15,7 @@
     ItemRun,
     /// From the preemption of a batch item to the use of its slot by online work.
     PreemptionRelease,
-    /// From a record's arrival to its commit.
+    /// From a ledger record's arrival to its commit.
     LedgerCommit,
     /// One call to the object API.
     StoreCall,
--- a/crates/types/src/ids.rs
+++ b/crates/types/src/ids.rs
@@ -235,7 +235,7 @@
 pub struct Fingerprint(pub u128);
 
 impl Fingerprint {
-    /// Digest of a body for a target.
+    /// The fingerprint of a request with this body to `target`.
     pub fn of(target: &TargetName, body: &[u8]) -> Self {
         Self(stable_hash128(&[b"fingerprint", target.as_str().as_bytes(), body]))
     }
--- a/crates/types/src/note.rs
+++ b/crates/types/src/note.rs
@@ -39,7 +39,7 @@
     pub vm: Option<VmName>,
     /// The reason's stable code, when there is one.
     pub reason: Option<&'static str>,
-    /// One short sentence with the figures the decision used.
+    /// One short sentence with the values that the decision was based on.
     pub detail: String,
 }
 
@@ -48,7 +48,7 @@
 pub struct DecisionNote {
     /// What the decision concerns.
     pub subject: NoteSubject,
-    /// What was decided.
+    /// The step that was decided.
     pub step: NoteStep,
 }
 
--- a/crates/types/src/object.rs
+++ b/crates/types/src/object.rs
@@ -41,32 +41,32 @@
         key: String,
         /// Its new value, at most [`MAX_OBJECT_BYTES`].
         value: Payload,
-        /// When the write may take effect.
+        /// Precondition of the write.
         condition: WriteCondition,
     },
     /// Deletes one object; a missing one counts as deleted.
     Delete {
         /// The object's key.
         key: String,
-        /// When the deletion may take effect; `IfAbsent` is not a valid choice here.
+        /// Precondition of the deletion; `IfAbsent` is not a valid choice here.
         condition: WriteCondition,
     },
     /// Lists keys with `prefix`, in key order, after key `after`.
     List {
-        /// What the keys start with.
+        /// Prefix of the keys.
         prefix: String,
-        /// The last key of the page before.
+        /// The last key of the previous page, if any.
         after: Option<String>,
-        /// Most keys to return.
+        /// Maximum number of keys to return.
         limit: u32,
     },
-    /// Waits until an object under `prefix` has a version above `after`, or `wait_ms` is over.
+    /// Waits until an object under `prefix` has a version above `after`, but at most `wait_ms`.
     Watch {
-        /// What the keys start with.
+        /// Prefix of the keys.
         prefix: String,
-        /// Only changes above this version.
+        /// The version after which changes are reported.
         after: ObjectVersion,
-        /// Longest wait, milliseconds.
+        /// Maximum wait, milliseconds.
         wait_ms: u64,
     },
 }
@@ -95,16 +95,16 @@
     pub written_at: WallTime,
 }
 
-/// A call's answer.
+/// Answer to a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreReply {
-    /// For `Get`; `None` when there is no such object.
+    /// Answer to `Get`; `None` if there is no such object.
     Object(Option<StoredObject>),
-    /// For `Put`: the version now in force.
+    /// Answer to `Put`: the object's new version.
     Written(ObjectVersion),
-    /// For `Delete`.
+    /// Answer to `Delete`.
     Deleted,
-    /// For `List`: one page of the listing.
+    /// Answer to `List`: one page of the listing.
     Listing {
         /// The page.
         objects: Vec<ListedObject>,
@@ -113,8 +113,8 @@
         /// Whether there are further pages.
         more: bool,
     },
-    /// For `Watch`: changed objects in version order (none if nothing changed during the wait), and
-    /// the version up to which the watcher has now seen all changes.
+    /// Answer to `Watch`: changed objects in version order (none if nothing changed during the
+    /// wait), and the version up to which the watcher has now seen all changes.
     Changes {
         /// The changed objects, each at its newest version.
         objects: Vec<StoredObject>,
@@ -126,7 +126,8 @@
 /// Why a call failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreFailure {
-    /// The condition didn't hold; nothing was written. Carries the version in force, if known.
+    /// The precondition didn't hold; nothing was written. Contains the object's current version, if
+    /// known.
     Conflict(Option<ObjectVersion>),
     /// The value exceeds the platform's size limit.
     TooLarge,
@@ -148,9 +149,9 @@
 pub struct StoreCall {
     /// Matches the answer to the call.
     pub call: CallId,
-    /// What to do.
+    /// The operation.
     pub op: StoreOp,
 }
 
-/// How a call ended.
+/// Outcome of a call.
 pub type StoreResult = Result<StoreReply, StoreFailure>;
