--- a/crates/entry/src/peers/catch_up.rs
+++ b/crates/entry/src/peers/catch_up.rs
@@ -36,7 +36,7 @@
 
 /// What to ask another gateway for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum StateQuestion {
+pub enum StateRequest {
     /// What changed since the versions known here.
     Changes,
     /// The whole list of targets.
@@ -65,7 +65,7 @@
         own: KnownVersions,
         theirs: KnownVersions,
         now: MonoTime,
-    ) -> Option<StateQuestion> {
+    ) -> Option<StateRequest> {
         if self.known != own {
             *self = Self { known: own, asked_at: self.asked_at, ..Self::default() };
         }
@@ -87,11 +87,11 @@
         own: KnownVersions,
         theirs: KnownVersions,
         now: MonoTime,
-    ) -> Option<StateQuestion> {
+    ) -> Option<StateRequest> {
         if own.is_behind(theirs) {
             let since = *self.behind_since.get_or_insert(now);
             let is_due = own.has_nothing() || now.since(since) >= PUSH_PATIENCE;
-            return is_due.then_some(StateQuestion::Changes);
+            return is_due.then_some(StateRequest::Changes);
         }
         if own.targets != theirs.targets || own.has_nothing() {
             return None;
@@ -105,7 +105,7 @@
             return None;
         }
         self.differs_since = Some(now);
-        Some(StateQuestion::WholeList)
+        Some(StateRequest::WholeList)
     }
 }
 
--- a/crates/entry/src/peers/hub.rs
+++ b/crates/entry/src/peers/hub.rs
@@ -22,7 +22,7 @@
     node::EntryNode,
     online::{crashes, places},
     peers::{
-        catch_up::{KnownVersions, StateQuestion},
+        catch_up::{KnownVersions, StateRequest},
         demands, detours, pushes,
         registration::{GATEWAY_KIND, GatewayEntry},
         reports,
@@ -280,11 +280,11 @@
 }
 
 /// Asks a gateway for newer state.
-fn ask_state(node: &EntryNode, peer: &VmName, question: StateQuestion) {
+fn ask_state(node: &EntryNode, peer: &VmName, question: StateRequest) {
     let own = node.known_versions();
     let targets = match question {
-        StateQuestion::Changes => own.targets,
-        StateQuestion::WholeList => 0,
+        StateRequest::Changes => own.targets,
+        StateRequest::WholeList => 0,
     };
     node.log.info(
         "state_asked",
--- a/crates/entry/tests/target_spread.rs
+++ b/crates/entry/tests/target_spread.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use notch_entry::{
-    peers::catch_up::{CatchUp, KnownVersions, StateQuestion, is_pusher},
+    peers::catch_up::{CatchUp, KnownVersions, StateRequest, is_pusher},
     store::target::TargetFeed,
 };
 use notch_link::prelude::EncodedMessage;
@@ -143,7 +143,7 @@
         asked.extend(catch_up.note_report(own, theirs, now).map(|question| (now, question)));
     }
     let times: Vec<u64> = asked.iter().map(|(at, _)| at.0 / 1_000).collect();
-    assert!(asked.iter().all(|(_, question)| *question == StateQuestion::Changes));
+    assert!(asked.iter().all(|(_, question)| *question == StateRequest::Changes));
     assert!(times.windows(2).all(|pair| pair[1] - pair[0] >= 300), "{times:?}");
     assert!((250..600).contains(&times[0]), "a push would have come before: {times:?}");
 }
@@ -153,7 +153,7 @@
 fn a_gateway_that_knows_nothing_asks_at_once() {
     let theirs = KnownVersions { configuration: 1, targets: 10, digest: 1 };
     let question = CatchUp::default().note_report(KnownVersions::default(), theirs, MonoTime(5));
-    assert_eq!(question, Some(StateQuestion::Changes));
+    assert_eq!(question, Some(StateRequest::Changes));
 }
 
 // Guards against a change that was missed though the revisions are the same.
@@ -167,7 +167,7 @@
     assert_eq!(ask(0, theirs), None, "an entry may only have lapsed there");
     assert_eq!(ask(4_000, own), None, "another gateway knows the same");
     assert_eq!(ask(6_000, theirs), None);
-    assert_eq!(ask(11_000, theirs), Some(StateQuestion::WholeList));
+    assert_eq!(ask(11_000, theirs), Some(StateRequest::WholeList));
     assert_eq!(ask(11_500, theirs), None, "not again at once");
 }
 
