--- a/crates/entry/src/front/connection.rs
+++ b/crates/entry/src/front/connection.rs
@@ -46,7 +46,7 @@
 impl ClientConnection<'_> {
     /// Waits for a request's first byte; false when the connection should end.
     async fn await_request(&mut self) -> bool {
-        if self.reader.has_rest() {
+        if self.reader.has_buffered() {
             return true;
         }
         let Some(idle_end) = self.node.stop.idle_end() else { return false };
@@ -283,7 +283,7 @@
 /// Ends when the client closes its connection. What it sends ahead is kept, up to a bound.
 async fn client_left(reader: &mut WireReader) {
     loop {
-        if reader.held() > READ_AHEAD_BYTES {
+        if reader.buffered_len() > READ_AHEAD_BYTES {
             pending::<()>().await;
         }
         match reader.fill().await {
--- a/crates/entry/src/target/pool.rs
+++ b/crates/entry/src/target/pool.rs
@@ -60,7 +60,7 @@
 
     /// Keeps a connection whose answer `head` was read to its end, unless something was odd.
     pub fn give_back(&self, id: &str, connection: TargetConnection, head: &ResponseHead) {
-        if connection.is_odd || !head.keep_alive || connection.reader.has_rest() {
+        if connection.is_odd || !head.keep_alive || connection.reader.has_buffered() {
             return;
         }
         let lifetime = AnswerMarks::decode(head).keeps_for.unwrap_or(IDLE_DEFAULT);
--- a/crates/h1/src/body.rs
+++ b/crates/h1/src/body.rs
@@ -1,41 +1,41 @@
-//! How long a body is, and how much of it was read.
+//! Body framing, and the progress of reading a body.
 
-/// How a message tells its body's end.
+/// How the end of a message's body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyFraming {
-    /// By its length.
+    /// By its length in bytes.
     Length(u64),
-    /// In chunks, the last one empty.
+    /// By an empty last chunk (`Transfer-Encoding: chunked`).
     Chunked,
-    /// By the connection's end.
+    /// By the end of the connection.
     UntilClose,
 }
 
-/// Where a chunked body stands.
+/// The next part to read of a chunked body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ChunkStage {
-    /// A chunk's size comes next.
+    /// The size line of a chunk.
     Size,
-    /// That many bytes of a chunk are left.
+    /// Data of a chunk, of which this many bytes are left.
     Data(u64),
-    /// The line end after a chunk comes next.
+    /// The line end after the data of a chunk.
     DataEnd,
-    /// Trailers, up to an empty line.
+    /// Trailers, up to and including an empty line.
     Trailers,
 }
 
-/// How much of a body was read.
+/// Progress of reading a body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BodyProgress {
     pub(crate) framing: BodyFraming,
-    /// Bytes left of a body with a length.
+    /// Bytes left; only used for a body with a known length.
     pub(crate) left: u64,
     pub(crate) stage: ChunkStage,
     pub(crate) done: bool,
 }
 
 impl BodyProgress {
-    /// The start of a body.
+    /// Progress at the start of a body.
     pub fn new(framing: BodyFraming) -> Self {
         let left = match framing {
             BodyFraming::Length(length) => length,
--- a/crates/h1/src/error.rs
+++ b/crates/h1/src/error.rs
@@ -1,27 +1,27 @@
-//! Faults of a connection.
+//! Errors of a connection.
 
 use std::{fmt, io};
 
 /// Why a message could not be read or written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WireError {
-    /// The other side closed the connection in the middle of a message, or before one.
+    /// The peer closed the connection within a message, or before an expected one.
     Closed,
-    /// The connection failed.
+    /// Reading or writing failed.
     Io(io::ErrorKind),
-    /// The bytes are no message.
+    /// The bytes are not a valid message.
     Malformed,
-    /// A head or body over its limit.
+    /// A head or body exceeds its size limit.
     TooLarge,
 }
 
 impl fmt::Display for WireError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Closed => f.write_str("connection closed"),
+            Self::Closed => f.write_str("connection closed before the end of a message"),
             Self::Io(kind) => write!(f, "connection failed: {kind}"),
-            Self::Malformed => f.write_str("malformed message"),
-            Self::TooLarge => f.write_str("message over its limit"),
+            Self::Malformed => f.write_str("malformed HTTP message"),
+            Self::TooLarge => f.write_str("HTTP message exceeds its size limit"),
         }
     }
 }
--- a/crates/h1/src/head.rs
+++ b/crates/h1/src/head.rs
@@ -2,28 +2,28 @@
 
 use crate::{body::BodyFraming, error::WireError, headers::HeaderList};
 
-/// Headers of one message, at most.
+/// Maximum number of headers of a message.
 pub(crate) const MAX_HEADERS: usize = 96;
 
 /// The head of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestHead {
-    /// Its method.
+    /// Method.
     pub method: String,
-    /// Path and query as sent.
+    /// Request target as received: path and query.
     pub target: String,
-    /// Its headers.
+    /// Headers in order.
     pub headers: HeaderList,
-    /// Whether the connection may be kept after it.
+    /// Whether the connection may be reused after it.
     pub keep_alive: bool,
 }
 
 impl RequestHead {
-    /// How long the body is.
+    /// Framing of the body.
     ///
     /// # Errors
-    /// `Malformed` where two lengths are given or one that can't be read: whoever guesses opens the
-    /// way for a request hidden in another one's body.
+    /// `Malformed` when the length is ambiguous or invalid. To guess it would allow request smuggling, a request
+    /// hidden in the body of another.
     pub fn framing(&self) -> Result<BodyFraming, WireError> {
         match declared_framing(&self.headers)? {
             Some(framing) => Ok(framing),
@@ -45,19 +45,19 @@
 /// The head of a response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// Its status.
+    /// Status code.
     pub status: u16,
-    /// Its headers.
+    /// Headers in order.
     pub headers: HeaderList,
-    /// Whether the connection may be kept after it.
+    /// Whether the connection may be reused after it.
     pub keep_alive: bool,
 }
 
 impl ResponseHead {
-    /// How long the body is.
+    /// Framing of the body.
     ///
     /// # Errors
-    /// `Malformed` as for requests.
+    /// `Malformed`, as for requests.
     pub fn framing(&self) -> Result<BodyFraming, WireError> {
         if self.status < 200 || matches!(self.status, 204 | 304) {
             return Ok(BodyFraming::Length(0));
@@ -91,7 +91,8 @@
     }
 }
 
-/// Copies parsed headers; their values must be text, and a name may not hide another message.
+/// Copies parsed headers. Values must be valid UTF-8; names are tokens, as the parser rejects all others, so that no name
+/// can hide another message.
 pub(crate) fn copy_headers(parsed: &[httparse::Header<'_>]) -> Result<HeaderList, WireError> {
     let mut headers = HeaderList::default();
     for header in parsed {
@@ -101,7 +102,7 @@
     Ok(headers)
 }
 
-/// Whether a message of this minor version and these headers leaves its connection open.
+/// Whether the connection stays open after a message with this HTTP/1 minor version and these headers.
 pub(crate) fn keeps_alive(minor: u8, headers: &HeaderList) -> bool {
     if headers.lists("connection", "close") {
         return false;
--- a/crates/h1/src/lib.rs
+++ b/crates/h1/src/lib.rs
@@ -1,6 +1,6 @@
-//! HTTP/1.1 messages over a socket, with exact framing: for relaying, where a connection must be
-//! dropped in the middle of an answer, an answer cut short must look cut, and bytes that belong to
-//! no request must never reach anyone. `httparse` does the parsing.
+//! HTTP/1.1 messages over TCP, for a relay. A relay has to be able to drop a connection in the middle of
+//! an answer, must pass on a truncated answer as truncated, and must never deliver bytes that belong to
+//! no request. So this crate handles message framing itself; `httparse` parses heads and chunk sizes.
 
 pub mod body;
 pub mod error;
--- a/crates/h1/src/reader.rs
+++ b/crates/h1/src/reader.rs
@@ -12,60 +12,60 @@
     head::{MAX_HEADERS, RequestHead, ResponseHead, copy_headers, keeps_alive},
 };
 
-/// Bytes asked for in one read: several events of a stream, or a whole usual request.
+/// Size of a read: several events of a stream, or a whole typical request.
 const READ_BYTES: usize = 8 << 10;
-/// Bytes of a chunk's size line, or of all trailers, at most.
-const LINE_MAX_BYTES: usize = 4 << 10;
+/// Maximum size of a chunk's size line, and of all trailers together.
+const MAX_LINE_BYTES: usize = 4 << 10;
 
-/// Reads messages from a connection. Every read may be dropped at an await without losing bytes.
+/// Reads messages from a connection. All reads are cancellation-safe: one that is dropped at an await loses no bytes.
 #[derive(Debug)]
 pub struct WireReader {
     stream: TcpStream,
     buffer: Vec<u8>,
-    /// Bytes of the buffer that were taken.
-    taken: usize,
+    /// Number of bytes at the start of the buffer that were consumed.
+    consumed: usize,
 }
 
 impl WireReader {
-    /// A reader of `stream`.
+    /// Creates a reader of `stream`.
     pub fn new(stream: TcpStream) -> Self {
-        Self { stream, buffer: Vec::new(), taken: 0 }
+        Self { stream, buffer: Vec::new(), consumed: 0 }
     }
 
-    /// The connection.
+    /// The underlying connection.
     pub fn stream(&self) -> &TcpStream {
         &self.stream
     }
 
-    /// Whether bytes were read that belong to no message yet.
-    pub fn has_rest(&self) -> bool {
-        self.held() > 0
+    /// Whether there are bytes that were read but not consumed by a message.
+    pub fn has_buffered(&self) -> bool {
+        self.buffered_len() > 0
     }
 
-    /// Bytes that were read and belong to no message yet.
-    pub fn held(&self) -> usize {
-        self.buffer.len() - self.taken
+    /// Number of bytes that were read but not consumed by a message.
+    pub fn buffered_len(&self) -> usize {
+        self.buffer.len() - self.consumed
     }
 
-    /// Reads more bytes; 0 at the connection's end.
+    /// Reads more bytes into the buffer; returns 0 at the end of the connection.
     ///
     /// # Errors
-    /// `Io` when the connection failed.
+    /// `Io` when the read failed.
     pub async fn fill(&mut self) -> Result<usize, WireError> {
         self.compact();
-        let held = self.buffer.len();
-        self.buffer.resize(held + READ_BYTES, 0);
-        // Dropped while pending, the read has taken nothing; the guard cuts the spare bytes off.
-        let mut guard = SpareBytes { buffer: &mut self.buffer, held };
+        let buffered = self.buffer.len();
+        self.buffer.resize(buffered + READ_BYTES, 0);
+        // A read dropped while pending has read nothing; the guard then removes the unused bytes.
+        let mut guard = TruncateGuard { buffer: &mut self.buffer, buffered };
         let mut stream = &self.stream;
-        let read = stream.read(&mut guard.buffer[held..]).await?;
-        guard.held = held + read;
+        let read = stream.read(&mut guard.buffer[buffered..]).await?;
+        guard.buffered = buffered + read;
         Ok(read)
     }
 
-    /// Whether an idle connection was closed or sent bytes that nobody asked for. Doesn't wait.
+    /// Whether an idle connection can't be reused: it was closed, failed, or received unsolicited bytes. Doesn't wait.
     pub fn is_unusable(&self) -> bool {
-        if self.has_rest() {
+        if self.has_buffered() {
             return true;
         }
         let mut byte = [0_u8; 1];
@@ -75,10 +75,10 @@
         !matches!(std::future::Future::poll(peek.as_mut(), &mut context), Poll::Pending)
     }
 
-    /// The next request's head, or `None` when the connection ended before its first byte.
+    /// Reads the head of the next request; `None` when the connection ended before its first byte.
     ///
     /// # Errors
-    /// `TooLarge` over `max_bytes`, `Malformed`, `Closed` in its middle, `Io`.
+    /// `TooLarge` beyond `max_bytes`, `Malformed`, `Closed` within the head, `Io`.
     pub async fn request_head(
         &mut self,
         max_bytes: usize,
@@ -87,19 +87,19 @@
             if let Some(head) = self.parse_request()? {
                 return Ok(Some(head));
             }
-            if self.buffer.len() - self.taken > max_bytes {
+            if self.buffer.len() - self.consumed > max_bytes {
                 return Err(WireError::TooLarge);
             }
             if self.fill().await? == 0 {
-                return if self.has_rest() { Err(WireError::Closed) } else { Ok(None) };
+                return if self.has_buffered() { Err(WireError::Closed) } else { Ok(None) };
             }
         }
     }
 
-    /// The next response's head; interim ones are passed over.
+    /// Reads the head of the next final response; interim (1xx) ones are skipped.
     ///
     /// # Errors
-    /// `Closed` before its end, `Malformed`, `TooLarge` over `max_bytes`, `Io`.
+    /// `Closed` before its end, `Malformed`, `TooLarge` beyond `max_bytes`, `Io`.
     pub async fn response_head(&mut self, max_bytes: usize) -> Result<ResponseHead, WireError> {
         loop {
             while let Some(head) = self.parse_response()? {
@@ -107,7 +107,7 @@
                     return Ok(head);
                 }
             }
-            if self.buffer.len() - self.taken > max_bytes {
+            if self.buffer.len() - self.consumed > max_bytes {
                 return Err(WireError::TooLarge);
             }
             if self.fill().await? == 0 {
@@ -116,7 +116,7 @@
         }
     }
 
-    /// The body's next bytes as they arrive, or `None` at its end.
+    /// Reads the next bytes of a body as they arrive; `None` at its end.
     ///
     /// # Errors
     /// `Closed` when the connection ends before the body, `Malformed`, `Io`.
@@ -128,7 +128,7 @@
             if progress.done {
                 return Ok(None);
             }
-            if let Some(part) = self.held_part(progress)? {
+            if let Some(part) = self.take_body(progress)? {
                 return Ok(Some(part));
             }
             if progress.done {
@@ -144,10 +144,10 @@
         }
     }
 
-    /// The whole body.
+    /// Reads a whole body.
     ///
     /// # Errors
-    /// As [`body_part`](Self::body_part), and `TooLarge` over `max_bytes`.
+    /// As [`body_part`](Self::body_part), and `TooLarge` beyond `max_bytes`.
     pub async fn whole_body(
         &mut self,
         framing: BodyFraming,
@@ -170,32 +170,32 @@
     fn parse_request(&mut self) -> Result<Option<RequestHead>, WireError> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut headers);
-        let held = &self.buffer[self.taken..];
-        let status = request.parse(held).map_err(|_| WireError::Malformed)?;
+        let buffered = &self.buffer[self.consumed..];
+        let status = request.parse(buffered).map_err(|_| WireError::Malformed)?;
         let httparse::Status::Complete(length) = status else { return Ok(None) };
         let headers = copy_headers(request.headers)?;
         let keep_alive = keeps_alive(request.version.unwrap_or(0), &headers);
         let method = request.method.unwrap_or_default().to_owned();
         let target = request.path.unwrap_or_default().to_owned();
-        self.taken += length;
+        self.consumed += length;
         Ok(Some(RequestHead { method, target, headers, keep_alive }))
     }
 
     fn parse_response(&mut self) -> Result<Option<ResponseHead>, WireError> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut headers);
-        let held = &self.buffer[self.taken..];
-        let status = response.parse(held).map_err(|_| WireError::Malformed)?;
+        let buffered = &self.buffer[self.consumed..];
+        let status = response.parse(buffered).map_err(|_| WireError::Malformed)?;
         let httparse::Status::Complete(length) = status else { return Ok(None) };
         let headers = copy_headers(response.headers)?;
         let keep_alive = keeps_alive(response.version.unwrap_or(0), &headers);
         let status = response.code.unwrap_or(0);
-        self.taken += length;
+        self.consumed += length;
         Ok(Some(ResponseHead { status, headers, keep_alive }))
     }
 
-    /// What of the body is held already, or `None` when more must be read first.
-    fn held_part(&mut self, progress: &mut BodyProgress) -> Result<Option<Vec<u8>>, WireError> {
+    /// The buffered part of the body; `None` when more has to be read first.
+    fn take_body(&mut self, progress: &mut BodyProgress) -> Result<Option<Vec<u8>>, WireError> {
         match progress.framing {
             BodyFraming::UntilClose => Ok(self.take(u64::MAX)),
             BodyFraming::Length(_) => {
@@ -204,11 +204,11 @@
                 progress.done = progress.left == 0;
                 Ok(part)
             }
-            BodyFraming::Chunked => self.held_chunks(progress),
+            BodyFraming::Chunked => self.take_chunks(progress),
         }
     }
 
-    fn held_chunks(&mut self, progress: &mut BodyProgress) -> Result<Option<Vec<u8>>, WireError> {
+    fn take_chunks(&mut self, progress: &mut BodyProgress) -> Result<Option<Vec<u8>>, WireError> {
         let mut data = Vec::new();
         loop {
             let advanced = match progress.stage {
@@ -224,15 +224,15 @@
     }
 
     fn take_size(&mut self, progress: &mut BodyProgress) -> Result<bool, WireError> {
-        let held = &self.buffer[self.taken..];
-        match httparse::parse_chunk_size(held) {
+        let buffered = &self.buffer[self.consumed..];
+        match httparse::parse_chunk_size(buffered) {
             Ok(httparse::Status::Complete((length, size))) => {
-                self.taken += length;
+                self.consumed += length;
                 progress.stage =
                     if size == 0 { ChunkStage::Trailers } else { ChunkStage::Data(size) };
                 Ok(true)
             }
-            Ok(httparse::Status::Partial) if held.len() <= LINE_MAX_BYTES => Ok(false),
+            Ok(httparse::Status::Partial) if buffered.len() <= MAX_LINE_BYTES => Ok(false),
             Ok(httparse::Status::Partial) | Err(_) => Err(WireError::Malformed),
         }
     }
@@ -246,64 +246,64 @@
     }
 
     fn take_line_end(&mut self, progress: &mut BodyProgress) -> Result<bool, WireError> {
-        let held = &self.buffer[self.taken..];
-        if held.len() < 2 {
+        let buffered = &self.buffer[self.consumed..];
+        if buffered.len() < 2 {
             return Ok(false);
         }
-        if !held.starts_with(b"\r\n") {
+        if !buffered.starts_with(b"\r\n") {
             return Err(WireError::Malformed);
         }
-        self.taken += 2;
+        self.consumed += 2;
         progress.stage = ChunkStage::Size;
         Ok(true)
     }
 
     fn take_trailers(&mut self, progress: &mut BodyProgress) -> Result<bool, WireError> {
-        let held = &self.buffer[self.taken..];
-        let length = if held.starts_with(b"\r\n") {
+        let buffered = &self.buffer[self.consumed..];
+        let length = if buffered.starts_with(b"\r\n") {
             2
         } else {
-            match held.windows(4).position(|window| window == b"\r\n\r\n") {
+            match buffered.windows(4).position(|window| window == b"\r\n\r\n") {
                 Some(position) => position + 4,
-                None if held.len() > LINE_MAX_BYTES => return Err(WireError::Malformed),
+                None if buffered.len() > MAX_LINE_BYTES => return Err(WireError::Malformed),
                 None => return Ok(false),
             }
         };
-        self.taken += length;
+        self.consumed += length;
         progress.done = true;
         Ok(true)
     }
 
-    /// Up to `most` of the bytes held, or `None` when none are.
-    fn take(&mut self, most: u64) -> Option<Vec<u8>> {
-        let held = self.buffer.len() - self.taken;
-        let count = usize::try_from(most).unwrap_or(usize::MAX).min(held);
+    /// Consumes up to `limit` buffered bytes; `None` when the buffer is empty.
+    fn take(&mut self, limit: u64) -> Option<Vec<u8>> {
+        let buffered = self.buffer.len() - self.consumed;
+        let count = usize::try_from(limit).unwrap_or(usize::MAX).min(buffered);
         if count == 0 {
             return None;
         }
-        let part = self.buffer[self.taken..self.taken + count].to_vec();
-        self.taken += count;
+        let part = self.buffer[self.consumed..self.consumed + count].to_vec();
+        self.consumed += count;
         Some(part)
     }
 
     fn compact(&mut self) {
-        if self.taken == self.buffer.len() {
+        if self.consumed == self.buffer.len() {
             self.buffer.clear();
-        } else if self.taken > 0 {
-            self.buffer.drain(..self.taken);
+        } else if self.consumed > 0 {
+            self.buffer.drain(..self.consumed);
         }
-        self.taken = 0;
+        self.consumed = 0;
     }
 }
 
-/// Cuts a buffer back to the bytes it holds when a read ends or is dropped.
-struct SpareBytes<'a> {
+/// Truncates the buffer to the bytes it really holds when a read completes or is dropped.
+struct TruncateGuard<'a> {
     buffer: &'a mut Vec<u8>,
-    held: usize,
+    buffered: usize,
 }
 
-impl Drop for SpareBytes<'_> {
+impl Drop for TruncateGuard<'_> {
     fn drop(&mut self) {
-        self.buffer.truncate(self.held);
+        self.buffer.truncate(self.buffered);
     }
 }
--- a/crates/h1/src/writer.rs
+++ b/crates/h1/src/writer.rs
@@ -1,4 +1,4 @@
-//! Writes messages.
+//! Builds and writes messages.
 
 use std::fmt::Write as _;
 
@@ -13,14 +13,14 @@
 }
 
 impl MessageWriter {
-    /// The head of a request.
+    /// Starts a request.
     pub fn request(method: &str, target: &str) -> Self {
         Self { text: format!("{method} {target} HTTP/1.1\r\n") }
     }
 
-    /// The head of a response.
+    /// Starts a response.
     pub fn response(status: u16) -> Self {
-        Self { text: format!("HTTP/1.1 {status} {}\r\n", reason(status)) }
+        Self { text: format!("HTTP/1.1 {status} {}\r\n", reason_phrase(status)) }
     }
 
     /// Adds a header.
@@ -30,18 +30,18 @@
         self
     }
 
-    /// Adds every header that isn't for one connection only and not in `except`.
+    /// Adds all `headers` but the hop-by-hop ones and those in `except`.
     pub fn copy(&mut self, headers: &HeaderList, except: &[&str]) -> &mut Self {
         for (name, value) in headers.iter() {
-            let excepted = except.iter().any(|e| e.eq_ignore_ascii_case(name));
-            if !excepted && !headers.is_hop_by_hop(name) {
+            let is_excluded = except.iter().any(|e| e.eq_ignore_ascii_case(name));
+            if !is_excluded && !headers.is_hop_by_hop(name) {
                 self.header(name, value);
             }
         }
         self
     }
 
-    /// The message's bytes with a body of known length.
+    /// Returns the bytes of the message with a body of known length.
     pub fn with_body(mut self, body: &[u8]) -> Vec<u8> {
         self.header("Content-Length", body.len());
         let mut bytes = self.into_head();
@@ -49,7 +49,7 @@
         bytes
     }
 
-    /// The head's bytes, for a body that follows in chunks.
+    /// Returns the bytes of the head; the body is to follow in chunks.
     pub fn with_chunks(mut self) -> Vec<u8> {
         self.header("Transfer-Encoding", "chunked");
         self.into_head()
@@ -62,7 +62,7 @@
     }
 }
 
-/// Appends one chunk to `bytes`; an empty one would end the body and is left out.
+/// Appends a chunk to `bytes`. Empty data is skipped, as an empty chunk would end the body.
 pub fn write_chunk(bytes: &mut Vec<u8>, data: &[u8]) {
     if data.is_empty() {
         return;
@@ -82,7 +82,7 @@
     Ok(())
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         202 => "Accepted",
--- a/crates/h1/tests/messages.rs
+++ b/crates/h1/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Reading messages from a connection.
+//! Tests of reading messages from a connection.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -10,7 +10,7 @@
 use notch_h1::prelude::*;
 use rstest::rstest;
 
-/// A reader of a connection on which `bytes` arrive, followed by its end.
+/// A reader of a connection on which `bytes` arrive and which is then closed.
 async fn reader(bytes: &[u8]) -> WireReader {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let mut sender = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
@@ -34,8 +34,8 @@
     });
 }
 
-/// Symptom: a target runs a request that no client sent. Sequence: a request gives its length
-/// twice, or in a form that another reader takes otherwise. Cause: one of the two was believed.
+/// Guards against request smuggling: a request declares two lengths, or one that another parser reads differently. If
+/// one of them is trusted, the target runs a request that no client sent.
 #[rstest]
 #[case("Content-Length: 3\r\nTransfer-Encoding: chunked\r\n")]
 #[case("Content-Length: 3\r\nContent-Length: 4\r\n")]
@@ -43,7 +43,7 @@
 #[case("Content-Length: 3, 3\r\n")]
 #[case("Transfer-Encoding: gzip, chunked\r\n")]
 #[case("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n")]
-fn doubtful_lengths_are_refused(#[case] headers: &str) {
+fn ambiguous_lengths_are_rejected(#[case] headers: &str) {
     task::block_on(async {
         let mut reader = reader(format!("POST / HTTP/1.1\r\n{headers}\r\n").as_bytes()).await;
         let head = reader.request_head(1_000).await.unwrap().unwrap();
@@ -52,25 +52,25 @@
 }
 
 #[test]
-fn chunks_are_joined_and_trailers_passed_over() {
+fn chunks_are_joined_and_trailers_skipped() {
     task::block_on(async {
         let bytes = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nT: 1\r\n\r\n";
         let mut reader = reader(bytes).await;
         let head = reader.response_head(1_000).await.unwrap();
         let body = reader.whole_body(head.framing().unwrap(), 100).await.unwrap();
         assert_eq!(body, b"abcde");
-        assert!(!reader.has_rest());
+        assert!(!reader.has_buffered());
     });
 }
 
-/// Symptom: a client takes a cut answer for a whole one. Sequence: a target crashes in the middle
-/// of a body. Cause: the connection's end was taken for the body's.
+/// Guards against passing on a truncated answer as a complete one: a target crashes within a body, and the end of the
+/// connection is taken for the end of the body.
 #[rstest]
 #[case("Content-Length: 10\r\n\r\nabc")]
 #[case("Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n")]
 #[case("Transfer-Encoding: chunked\r\n\r\n3\r\nab")]
 #[case("Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n")]
-fn a_cut_body_is_not_whole(#[case] rest: &str) {
+fn a_truncated_body_is_not_complete(#[case] rest: &str) {
     task::block_on(async {
         let mut reader = reader(format!("HTTP/1.1 200 OK\r\n{rest}").as_bytes()).await;
         let head = reader.response_head(1_000).await.unwrap();
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn interim_responses_are_passed_over() {
+fn interim_responses_are_skipped() {
     task::block_on(async {
         let bytes = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n";
         let head = reader(bytes).await.response_head(1_000).await.unwrap();
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn limits_hold() {
+fn size_limits_are_enforced() {
     task::block_on(async {
         let long = format!("GET /{} HTTP/1.1\r\n", "x".repeat(20_000));
         assert_eq!(
@@ -104,10 +104,10 @@
     });
 }
 
-/// Symptom: a client gets another request's answer. Sequence: a target sends a second answer on a
-/// connection that is kept idle, the next request goes out on it. Cause: nobody looked.
+/// Guards against delivering an answer to the wrong client: a target sends a second answer on an idle connection, which
+/// is then reused for another request without a check.
 #[test]
-fn bytes_on_an_idle_connection_spoil_it() {
+fn bytes_on_an_idle_connection_make_it_unusable() {
     task::block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let mut sender = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
