--- a/crates/entry/src/accounts/state.rs
+++ b/crates/entry/src/accounts/state.rs
@@ -6,7 +6,7 @@
 use notch_settings::prelude::AccountSettings;
 use notch_types::prelude::*;
 
-/// What a gateway knows of client accounts. Each lock is held for moments, and no two at once.
+/// What a gateway knows of client accounts. Each lock is held only briefly, and never two at once.
 #[derive(Debug, Default)]
 pub struct AccountState {
     age: Mutex<ConfigurationAge>,
@@ -16,7 +16,7 @@
 }
 
 impl AccountState {
-    /// Nothing is known yet.
+    /// State in which nothing is known yet.
     pub fn new(settings: &AccountSettings) -> Self {
         let tolerance = QuotaTolerance {
             window: settings.quota_window(),
@@ -28,27 +28,27 @@
         Self { age, limiter, tolerance, ..Self::default() }
     }
 
-    /// How old the knowledge of the configuration is.
+    /// Age of the proof that the configuration in force is the newest one.
     pub fn age(&self) -> MutexGuard<'_, ConfigurationAge> {
         self.age.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The limiters run here, and who runs the others.
+    /// The accounts that this gateway is the limiter of, and the limiters of all others.
     pub fn limiter(&self) -> MutexGuard<'_, LimiterTable> {
         self.limiter.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What may be admitted here.
+    /// Credit for requests that may be admitted here.
     pub fn credits(&self) -> MutexGuard<'_, CreditCache> {
         self.credits.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// By how much limits may be exceeded.
+    /// By how much account limits may be exceeded.
     pub fn tolerance(&self) -> QuotaTolerance {
         self.tolerance
     }
 
-    /// Requests that were admitted and didn't run.
+    /// Returns the credit of a request that was admitted but didn't run.
     pub fn give_back(&self, account: &AccountName, now: MonoTime) {
         self.credits().give_back(account, now);
     }
--- a/crates/entry/src/clock.rs
+++ b/crates/entry/src/clock.rs
@@ -1,15 +1,15 @@
-//! Both clocks of a process.
+//! The monotonic, boot and wall clocks of a process.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 use notch_types::prelude::*;
 use rustix::time::{ClockId, clock_gettime};
 
-/// Reads both clocks; the monotonic one starts with the process.
+/// Reads the clocks. The monotonic and the boot clock count from the start of the process.
 #[derive(Debug, Clone, Copy)]
 pub struct NodeClock {
     start: Instant,
-    /// Microseconds of the boot clock at the start.
+    /// Reading of the boot clock at the start, in microseconds.
     boot_start: u64,
 }
 
@@ -24,7 +24,8 @@
         MonoTime(self.start.elapsed().as_micros() as u64)
     }
 
-    /// The clock that counts the time in which the VM was suspended, too. From the same zero.
+    /// The boot clock, which also counts the time in which the VM was suspended. It has the same origin as the
+    /// monotonic clock.
     pub fn boot(&self) -> MonoTime {
         MonoTime(boot_micros().saturating_sub(self.boot_start))
     }
@@ -32,11 +33,11 @@
     /// The wall clock. It may jump, and differs between VMs.
     pub fn wall(&self) -> WallTime {
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
-        // A clock before 1970 is taken for its beginning; nothing is due then.
+        // A wall clock before 1970 reads as 0, so that nothing is due.
         WallTime(since.map_or(0, |d| d.as_millis() as u64))
     }
 
-    /// Both.
+    /// The monotonic and the wall clock.
     pub fn now(&self) -> Now {
         Now { mono: self.mono(), wall: self.wall() }
     }
--- a/crates/entry/src/disk.rs
+++ b/crates/entry/src/disk.rs
@@ -1,5 +1,5 @@
-//! The process of a VM with a disk. The platform asks for one; nothing of ours lies on a disk, and the gateways
-//! answer requests to empty it, so it only waits for its end.
+//! The process of a VM with a disk, which the platform requires. Nothing is stored on the disk, and the gateways
+//! answer requests to empty the VM, so that this process only waits for the signal to stop.
 
 use async_std::stream::StreamExt;
 use notch_settings::DiskConfig;
@@ -9,7 +9,7 @@
 
 use crate::error::EntryError;
 
-/// Runs until told to stop.
+/// Runs until a signal to stop.
 ///
 /// # Errors
 /// Signals can't be caught.
--- a/crates/entry/src/error.rs
+++ b/crates/entry/src/error.rs
@@ -1,29 +1,31 @@
-//! Why a process of an entry VM ends.
+//! Fatal errors of a process.
 
 use std::{fmt, io};
 
 use notch_settings::SettingsErrors;
 
-/// Why a process could not start or go on.
+/// Why a process could not start or continue.
 #[derive(Debug)]
 pub enum EntryError {
-    /// No variable names the settings file, and no argument does.
+    /// Neither the command line nor the environment names a settings file.
     NoSettings,
-    /// The settings file is wrong.
+    /// The settings file is missing or invalid.
     Settings(SettingsErrors),
-    /// An address can't be listened on.
+    /// Binding a listener failed.
     Listen(&'static str, io::Error),
-    /// Signals can't be caught.
+    /// Signal handlers could not be installed.
     Signals(io::Error),
 }
 
 impl fmt::Display for EntryError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NoSettings => f.write_str("no settings file is named"),
+            Self::NoSettings => f.write_str(
+                "no settings file given: neither on the command line nor in the environment",
+            ),
             Self::Settings(errors) => write!(f, "{errors}"),
-            Self::Listen(what, error) => write!(f, "can't listen for {what}: {error}"),
-            Self::Signals(error) => write!(f, "can't catch signals: {error}"),
+            Self::Listen(what, error) => write!(f, "failed to listen for {what}: {error}"),
+            Self::Signals(error) => write!(f, "failed to install signal handlers: {error}"),
         }
     }
 }
--- a/crates/entry/src/front/answer.rs
+++ b/crates/entry/src/front/answer.rs
@@ -1,30 +1,31 @@
-//! Answers of our own to clients.
+//! Responses that the gateway itself gives to clients.
 
 use std::time::Duration;
 
-/// One answer of our own.
+/// A response of the gateway itself, as opposed to a relayed one.
 #[derive(Debug, Default)]
 pub struct OwnAnswer {
-    /// Its status.
+    /// HTTP status.
     pub status: u16,
-    /// When the client should come back.
+    /// Time after which the client should retry.
     pub retry_after: Option<Duration>,
-    /// Its body.
+    /// JSON body; empty for none.
     pub body: Vec<u8>,
 }
 
 impl OwnAnswer {
-    /// An answer without a body.
+    /// A response without a body.
     pub fn of(status: u16) -> Self {
         Self { status, ..Self::default() }
     }
 
-    /// A refusal for want of room under a limit: nothing ran; come back after `wait`.
+    /// A refusal of a request over its account's or a job limit (429). Nothing ran; the client may retry after
+    /// `wait`.
     pub fn over_limit(wait: Duration) -> Self {
         Self { status: 429, retry_after: Some(wait), ..Self::default() }
     }
 
-    /// A refusal: nothing ran; come back after `wait`.
+    /// A refusal because of missing state or capacity (503). Nothing ran; the client may retry after `wait`.
     pub fn refused(wait: Duration) -> Self {
         Self { status: 503, retry_after: Some(wait), ..Self::default() }
     }
--- a/crates/entry/src/front/listener.rs
+++ b/crates/entry/src/front/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts connections.
+//! Accepts TCP connections.
 
 use std::{io, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -7,13 +7,13 @@
     task,
 };
 
-/// Pause after a failed accept, so that running out of descriptors doesn't spin.
+/// Pause after a failed accept; without it the loop would spin when file descriptors run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Listens at `address` and serves each connection by a task of its own until the process ends.
+/// Listens on `address` and serves each connection in its own task until the process ends.
 ///
 /// # Errors
-/// The address can't be bound.
+/// `address` can't be bound.
 pub async fn listen<S, F>(address: SocketAddr, serve: S) -> io::Result<task::JoinHandle<()>>
 where
     S: Fn(TcpStream) -> F + Send + Sync + 'static,
@@ -25,11 +25,11 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    // Without it events would wait for acknowledgements; a socket that refuses it
-                    // still works.
+                    // With Nagle's algorithm, stream events would wait for acknowledgements. A failure
+                    // to disable it isn't fatal.
                     let _ = stream.set_nodelay(true);
-                    let serving = serve(stream);
-                    task::spawn(serving);
+                    let connection_task = serve(stream);
+                    task::spawn(connection_task);
                 }
                 Err(_) => task::sleep(ACCEPT_PAUSE).await,
             }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,4 +1,5 @@
-//! The relaying gateway of an entry VM. It runs against the platform's store alone.
+//! The gateway of an entry VM: it relays client requests to targets and runs batch jobs. Its only external
+//! dependency is the platform's store.
 
 pub mod accounts;
 pub mod batch;
@@ -18,7 +19,7 @@
 pub mod store;
 pub mod target;
 
-/// What programs and tests use.
+/// The types that binaries and tests need.
 pub mod prelude {
     pub use crate::{
         error::EntryError,
--- a/crates/entry/src/main.rs
+++ b/crates/entry/src/main.rs
@@ -1,4 +1,4 @@
-//! The processes of entry VMs and of VMs with a disk.
+//! The binary that runs on entry VMs and on VMs with a disk.
 
 use std::{env, path::PathBuf, process::ExitCode};
 
@@ -20,8 +20,9 @@
 }
 
 fn run(options: EntryOptions) -> Result<(), EntryError> {
-    let named = options.config.or_else(|| env::var_os(SETTINGS_VARIABLE).map(PathBuf::from));
-    let path = named.ok_or(EntryError::NoSettings)?;
+    let settings_path =
+        options.config.or_else(|| env::var_os(SETTINGS_VARIABLE).map(PathBuf::from));
+    let path = settings_path.ok_or(EntryError::NoSettings)?;
     match options.role {
         RoleOption::Gateway(_) => {
             let config = EntryConfig::load(&path).map_err(EntryError::Settings)?;
--- a/crates/entry/src/options.rs
+++ b/crates/entry/src/options.rs
@@ -18,13 +18,13 @@
     pub role: RoleOption,
 }
 
-/// What a process is.
+/// Role of the process.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 pub enum RoleOption {
-    /// The gateway.
+    /// Gateway of an entry VM.
     Gateway(GatewayRole),
-    /// The process of a VM with a disk.
+    /// Process of a VM with a disk.
     Disk(DiskRole),
 }
 
--- a/crates/entry/src/peers/calls.rs
+++ b/crates/entry/src/peers/calls.rs
@@ -1,4 +1,4 @@
-//! Questions to other gateways that wait for their answer.
+//! Calls to other gateways: requests that wait for an answer.
 
 use std::{
     sync::{
@@ -12,18 +12,18 @@
 use async_std::future::timeout;
 use notch_types::prelude::*;
 
-/// How a question ended.
+/// Result of a call.
 #[derive(Debug)]
 pub enum CallEnd<T> {
-    /// There was no link to send it on.
+    /// There was no link to send the request on.
     NotSent,
-    /// No answer came in time: it may have been heard.
+    /// No answer came in time; the request may have been received.
     Unanswered,
-    /// This is the answer.
+    /// The answer.
     Answered(T),
 }
 
-/// A question that waits; however its asker ends, nothing is kept of it.
+/// A pending call. Its table entry is removed on drop, also when the caller is cancelled.
 struct OpenCall<'a, T> {
     table: &'a CallTable<T>,
     call: u64,
@@ -36,7 +36,7 @@
     }
 }
 
-/// Questions of one kind that wait for an answer of type `T`.
+/// Pending calls of one kind, with answers of type `T`.
 #[derive(Debug)]
 pub struct CallTable<T> {
     waiting: Mutex<FastMap<u64, Sender<T>>>,
@@ -50,7 +50,7 @@
 }
 
 impl<T> CallTable<T> {
-    /// Asks: `send` sends the question with its number, and tells whether there was a link. The
+    /// Makes a call. `send` sends the request with the given call number and returns whether there was a link. The
     /// answer must come within `wait`.
     pub async fn ask(&self, send: impl FnOnce(u64) -> bool, wait: Duration) -> CallEnd<T> {
         let open = self.open();
@@ -70,12 +70,12 @@
         OpenCall { table: self, call, answer }
     }
 
-    /// The answer to a question came. The asker may have given up meanwhile.
+    /// Delivers an answer; it is dropped when the caller no longer waits.
     pub fn answer(&self, call: u64, answer: T) {
         self.try_answer(call, answer);
     }
 
-    /// The same; the answer is given back when the asker has given up.
+    /// Delivers an answer; it is returned when the caller no longer waits.
     pub fn try_answer(&self, call: u64, answer: T) -> Option<T> {
         let Some(sender) = self.waiting().remove(&call) else { return Some(answer) };
         sender.try_send(answer).err().map(TrySendError::into_inner)
--- a/crates/entry/src/peers/registration.rs
+++ b/crates/entry/src/peers/registration.rs
@@ -1,19 +1,19 @@
-//! A gateway as it registers itself in the store.
+//! The entry by which a gateway registers itself in the store.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// Kind of the gateways' own entries in the store, each named after its VM.
+/// Object kind of the gateways' entries in the store; each is named after its VM.
 pub const GATEWAY_KIND: &str = "notch-gateways";
 
-/// A gateway as it registers itself.
+/// Entry of a gateway.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GatewayEntry {
-    /// Where it listens for links.
+    /// Address on which it listens for links.
     pub address: SocketAddr,
-    /// Its name with its incarnation: another one means a restart.
+    /// VM name with the incarnation of the process; a different one means that it restarted.
     pub owner: String,
-    /// Its failure domain.
+    /// Failure domain of its VM.
     pub domain: String,
 }
--- a/crates/entry/src/peers/traffic.rs
+++ b/crates/entry/src/peers/traffic.rs
@@ -1,13 +1,13 @@
-//! Messages between gateways, counted by kind.
+//! Counters of messages between gateways.
 
 use notch_telemetry::prelude::*;
 
-/// Label of messages that were queued for a link.
+/// Label value of messages queued on a link.
 const SENT: &str = "sent";
-/// Label of messages that came on a link.
+/// Label value of messages received on a link.
 const RECEIVED: &str = "received";
 
-/// Counts messages and bytes between gateways; nothing in a process without metrics.
+/// Counts messages and bytes between gateways. The default value counts nothing.
 #[derive(Debug, Default)]
 pub struct PeerTraffic {
     counters: Option<TrafficCounters>,
@@ -20,7 +20,7 @@
 }
 
 impl PeerTraffic {
-    /// Counts that `metrics` shows.
+    /// Counters that are exported by `metrics`.
     pub fn new(metrics: &Metrics) -> Self {
         let labels = ["kind", "way"];
         let messages = metrics.pair_counter(
@@ -36,12 +36,12 @@
         Self { counters: Some(TrafficCounters { messages, bytes }) }
     }
 
-    /// A message was queued for `links` links.
+    /// Counts a message that was queued on `links` links.
     pub fn note_sent(&self, kind: &'static str, bytes: usize, links: usize) {
         self.note(kind, SENT, bytes, links);
     }
 
-    /// A message came.
+    /// Counts a received message.
     pub fn note_received(&self, kind: &'static str, bytes: usize) {
         self.note(kind, RECEIVED, bytes, 1);
     }
--- a/crates/entry/src/target/liveness.rs
+++ b/crates/entry/src/target/liveness.rs
@@ -12,8 +12,8 @@
     node::EntryNode,
 };
 
-/// Asks targets that went silent, until the process ends. All are asked at once: one after the other,
-/// ten that stay silent would keep one that is back from being used for a second and a half.
+/// Probes silent targets until the process ends. All are probed at once: one after the other, ten targets that
+/// stay silent would delay the use of a recovered one by a second and a half.
 pub async fn probe_silent(node: Arc<EntryNode>) {
     loop {
         task::sleep(LIVENESS_TICK).await;
