--- a/crates/entry/src/accounts.rs
+++ b/crates/entry/src/accounts.rs
@@ -1,4 +1,4 @@
-//! Client accounts: whose requests are let in.
+//! Client accounts: authentication, configuration freshness and rate limits.
 
 pub mod admission;
 pub mod credit;
--- a/crates/entry/src/accounts/admission.rs
+++ b/crates/entry/src/accounts/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a request with a key, or without one, is let in.
+//! Admission of requests by API key, configuration freshness and account limit.
 
 use std::time::Duration;
 
@@ -14,19 +14,19 @@
     node::EntryNode,
 };
 
-/// Why a request isn't let in. Nothing of it has run.
+/// Why a request is refused. No part of it has run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmissionRefusal {
-    /// Its key is of no account.
+    /// Its key belongs to no account, or it has none and the route needs one.
     UnknownKey,
-    /// Its key may have been taken away: what is known of the configuration is too old.
+    /// The known configuration is too old to tell whether its key was revoked.
     StaleConfiguration,
-    /// Its account's limit is used up.
+    /// Its account's limit is exhausted.
     OverLimit {
-        /// When to come back.
+        /// Time after which to retry.
         wait: Duration,
     },
-    /// Nobody can tell now whether it's within its account's limit.
+    /// The limiter of its account can't be reached, and no more may be admitted without it.
     LimitUnknown,
 }
 
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The answer to the client.
+    /// The response to the client.
     pub fn answer(self) -> OwnAnswer {
         match self {
             Self::UnknownKey => OwnAnswer::of(401),
@@ -51,10 +51,11 @@
     }
 }
 
-/// Who sends a request by its key, whether or not the key may still be used.
+/// Identifies the caller of a request by its key. Doesn't check whether the configuration is recent enough to
+/// honour the key; [`check_freshness`] does.
 ///
 /// # Errors
-/// It has no key of an account, and needs one.
+/// `UnknownKey` when it needs a key and has none that belongs to an account.
 pub fn identify(
     routes: &RouteTable,
     head: &RequestHead,
@@ -66,10 +67,10 @@
     }
 }
 
-/// Whether keys may be honoured now.
+/// Checks that the configuration is recent enough to honour the caller's key.
 ///
 /// # Errors
-/// What is known of the configuration is too old to tell.
+/// `StaleConfiguration` when it is too old; the key may have been revoked since.
 pub fn check_freshness(node: &EntryNode, caller: &CallerIdentity) -> Result<(), AdmissionRefusal> {
     let has_key = matches!(caller, CallerIdentity::Account(_));
     if has_key && !node.accounts.age().is_fresh(node.clock.boot()) {
@@ -78,10 +79,11 @@
     Ok(())
 }
 
-/// Counts an online request against its account's limit; the account whose credit it has.
+/// Counts an online request against its account's limit. Returns the account to credit if the request doesn't
+/// run; `None` when there is no limit or no limiter counted the request.
 ///
 /// # Errors
-/// The limit is used up, or nobody can tell.
+/// `OverLimit` when the limit is exhausted, `LimitUnknown` when that can't be determined.
 pub async fn take_credit(
     node: &EntryNode,
     caller: &CallerIdentity,
--- a/crates/entry/src/accounts/credit.rs
+++ b/crates/entry/src/accounts/credit.rs
@@ -1,4 +1,5 @@
-//! Credit of accounts' limits, asked for before a request is let in.
+//! Credit for account limits. One gateway, the account's limiter, keeps its count; the others obtain credit from
+//! it before they admit requests.
 
 use std::time::Duration;
 
@@ -8,39 +9,39 @@
 
 use crate::{node::EntryNode, peers::calls::CallEnd};
 
-/// Longest wait for a limiter's answer: several round trips between failure domains, a fifth of the usual objective.
-const ANSWER_WAIT: Duration = Duration::from_millis(60);
-/// Gateways asked for one request, at most: the limiter as known here, and the one that it names instead.
-const ASKS: usize = 2;
+/// Timeout of a limiter's answer: several round trips between failure domains, a fifth of the usual objective.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(60);
+/// Maximum number of gateways asked for one request: the limiter known here, and the one that it redirects to.
+const MAX_LIMITERS_ASKED: usize = 2;
 
 /// Whether a request is within its account's limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimitVerdict {
-    /// It is, and is counted.
+    /// It is within the limit and was counted.
     Within,
-    /// It is let in though no limiter can be asked now.
+    /// It is admitted although no limiter can be reached now.
     WithoutLimiter,
-    /// It isn't.
+    /// It exceeds the limit.
     Over {
-        /// When to come back.
+        /// Time after which to retry.
         wait: Duration,
     },
-    /// Nobody can tell now.
+    /// No limiter can be reached, and no more may be admitted without one.
     Unknown,
 }
 
-/// Counts a request against its account's limit.
+/// Counts a request against its account's limit, with credit from the limiter where none is left here.
 pub async fn take(node: &EntryNode, account: &AccountName, limit: AccountLimit) -> LimitVerdict {
     let began = node.clock.mono();
     let step = node.accounts.credits().begin(account, began);
     let wanted = match step {
         CreditStep::Admitted => return LimitVerdict::Within,
         CreditStep::UsedUp { wait } => return LimitVerdict::Over { wait },
-        CreditStep::NoLimiter => return take_without_limiter(node, account, limit),
+        CreditStep::NoLimiter => return decide_without_limiter(node, account, limit),
         CreditStep::Ask { wanted } => wanted,
     };
     let mut limiter = find_limiter(node, account, began);
-    for _ in 0..ASKS {
+    for _ in 0..MAX_LIMITERS_ASKED {
         let Some(vm) = limiter else { break };
         match ask(node, &vm, account, wanted).await {
             Some(CreditAnswer::Granted(granted)) => {
@@ -60,7 +61,7 @@
             }
         }
     }
-    take_without_limiter(node, account, limit)
+    decide_without_limiter(node, account, limit)
 }
 
 async fn ask(
@@ -75,13 +76,13 @@
     node.metrics.count(Counter::Event("credit_asked"));
     let account = account.clone();
     let send = |call| node.peers.send(vm, PeerMessage::CreditAsk { call, account, wanted });
-    match node.peers.credit_calls.ask(send, ANSWER_WAIT).await {
+    match node.peers.credit_calls.ask(send, ANSWER_TIMEOUT).await {
         CallEnd::Answered(answer) => Some(answer),
         CallEnd::NotSent | CallEnd::Unanswered => None,
     }
 }
 
-fn take_without_limiter(
+fn decide_without_limiter(
     node: &EntryNode,
     account: &AccountName,
     limit: AccountLimit,
@@ -93,24 +94,25 @@
     if may_admit { LimitVerdict::WithoutLimiter } else { LimitVerdict::Unknown }
 }
 
-/// The limiter of an account, by what is known of the other gateways now.
+/// The limiter of an account, after a refresh of the limiter view.
 fn find_limiter(node: &EntryNode, account: &AccountName, now: MonoTime) -> Option<VmName> {
-    look(node, now);
+    refresh_view(node, now);
     node.accounts.limiter().limiter(account)
 }
 
-/// Brings the view of the limiters up to what is known of the other gateways.
-pub fn look(node: &EntryNode, now: MonoTime) {
+/// Updates the limiter view from the known gateways, and sends the credit of accounts whose limiter has moved to
+/// the new one.
+pub fn refresh_view(node: &EntryNode, now: MonoTime) {
     let own = &node.config.node.vm;
     if !node.accounts.limiter().begin_look(now) {
         return;
     }
-    let taking_part = (!node.stop.is_stopping()).then_some(own);
+    let participant = (!node.stop.is_stopping()).then_some(own);
     let up = now.since(MonoTime::default());
-    let (census, candidates) = node.peers.limiter_candidates(taking_part, up, now);
-    let is_informed = node.peers.entries.is_answered();
+    let (census, candidates) = node.peers.limiter_candidates(participant, up, now);
+    let is_synced = node.peers.entries.is_answered();
     let view =
-        if is_informed { LimiterView::new(census, candidates) } else { LimiterView::default() };
+        if is_synced { LimiterView::new(census, candidates) } else { LimiterView::default() };
     let handovers = node.accounts.limiter().set_view(own, view, now);
     for CreditHandover { limiter, account, credit } in handovers {
         let credit_milli = (credit * 1_000.0) as u64;
@@ -118,28 +120,30 @@
     }
 }
 
-/// Takes the credit that an account's former limiter had left.
+/// Takes over the remaining credit that an account's former limiter handed over.
 pub fn take_over(node: &EntryNode, account: &AccountName, credit_milli: u64) {
     let now = node.clock.mono();
-    look(node, now);
+    refresh_view(node, now);
     let Some(limit) = limit_of(node, account).flatten() else { return };
     let (own, credit) = (&node.config.node.vm, credit_milli as f64 / 1_000.0);
     node.accounts.limiter().take_over(own, account, limit, credit, now);
 }
 
-/// The account's limit by the configuration in force, if that names the account.
+/// The account's limit by the configuration in force: `None` when it doesn't name the account, `Some(None)` for no
+/// limit.
 fn limit_of(node: &EntryNode, account: &AccountName) -> Option<Option<AccountLimit>> {
     let routes = node.routes()?;
     routes.accounts()?.named(account).map(|account| account.limit)
 }
 
-/// Answers another gateway that asks for credit.
+/// Answers another gateway's request for credit.
 pub fn answer(node: &EntryNode, peer: &VmName, call: u64, account: &AccountName, wanted: u32) {
     let answer = grant(node, account, wanted);
     node.peers.send(peer, PeerMessage::CreditAnswer { call, answer });
 }
 
-/// What this gateway grants, if by its own view it is the limiter: another one's word doesn't make it so.
+/// Grants credit if this gateway is the limiter by its own view; that another gateway takes it for the limiter isn't
+/// enough.
 fn grant(node: &EntryNode, account: &AccountName, wanted: u32) -> CreditAnswer {
     let now = node.clock.mono();
     let limiter = find_limiter(node, account, now);
@@ -149,7 +153,7 @@
     match limit_of(node, account) {
         Some(Some(limit)) => node.accounts.limiter().grant(account, limit, wanted, now),
         Some(None) => CreditAnswer::Granted(wanted),
-        // The asker's configuration is newer, or older: there is no limiter until they agree.
+        // The requester has a newer or older configuration; there is no limiter until both have the same.
         None => CreditAnswer::Elsewhere(None),
     }
 }
--- a/crates/entry/src/constants.rs
+++ b/crates/entry/src/constants.rs
@@ -1,199 +1,217 @@
-//! Every time limit and bound of an entry VM, with its unit and where its figure comes from.
+//! Timeouts, intervals and size limits of an entry VM.
 
 use std::time::Duration;
 
-/// Longest wait for a connection to a target. A handshake takes 2 to 5 ms between failure domains;
-/// a VM without power never answers, and an opening packet that was dropped is sent again after a
-/// second, when the answer would be late anyway.
+/// Timeout of a TCP connect to a target. A handshake between failure domains takes 2 to 5 ms. A VM
+/// without power never answers, and a lost SYN is retransmitted only after a second, by which time the
+/// answer would be late anyway.
 pub const TARGET_CONNECT: Duration = Duration::from_millis(120);
-/// Share of a route's objective that an answer may take to begin where a place was free. Usually
-/// it takes a tenth; half of it leaves time for another target to answer within the objective.
+/// Time to the first byte of an answer, as a fraction of the route's objective, when the target had a
+/// free slot. An answer usually begins after a tenth of the objective; giving up at about half of it
+/// leaves time for another target to answer within the objective.
 pub const FIRST_BYTE_FREE_FACTOR: f64 = 0.55;
-/// The same where the request may wait for a place: a usual stream lasts two objectives.
+/// Time to the first byte, in objectives of the route, when the request may wait for a slot: a typical
+/// stream lasts two objectives.
 pub const FIRST_BYTE_QUEUED_FACTOR: f64 = 5.0;
-/// How often it's looked whether a liveness probe is due.
+/// Interval between checks for targets that are due for a liveness probe.
 pub const LIVENESS_TICK: Duration = Duration::from_millis(100);
-/// Longest wait for the answer to a liveness probe: a report takes a few milliseconds.
+/// Timeout of a liveness probe; a target answers one within a few milliseconds.
 pub const LIVENESS_TIMEOUT: Duration = Duration::from_millis(150);
-/// Share of a route's longest pause between events after which a silent stream is taken up at
-/// another target, so that the pause still is in time. Events come every 30 ms.
+/// Fraction of a route's maximum gap between events after which a stalled stream is resumed at another
+/// target, so that the gap stays within its limit. Events normally come every 30 ms.
 pub const STALL_FACTOR: f64 = 0.7;
-/// Longest silence of an item's run before it goes on elsewhere: thirty events' time.
+/// Time without an event after which an item's run is moved to another target: about thirty event
+/// intervals.
 pub const ITEM_STALL: Duration = Duration::from_millis(1_000);
-/// Longest wait for the head of an item's answer: places are free when it starts.
+/// Timeout of the response head of an item. Items start only where a slot is free, so they don't queue.
 pub const ITEM_FIRST_BYTE: Duration = Duration::from_millis(1_500);
-/// Sends that provably did not run, beyond the route's attempts, before a request is refused.
+/// Retries of a request after attempts that provably did not run, before it is refused. They don't count
+/// against the route's attempt limit.
 pub const MAX_NOT_RUN_RETRIES: u32 = 4;
-/// Pause before a broken stream looks for a target again when none had a place.
-pub const NO_PLACE_RETRY_INTERVAL: Duration = Duration::from_millis(25);
-/// How long a broken stream looks for a place.
-pub const NO_PLACE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// When a client that was refused should come back: half of the time in which a usual stream ends,
-/// so that a place is likely free by then.
+/// Interval between searches for a slot for an interrupted stream.
+pub const NO_SLOT_RETRY_INTERVAL: Duration = Duration::from_millis(25);
+/// How long an interrupted stream looks for a slot before it is given up.
+pub const NO_SLOT_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Default retry delay of a refused client: half the duration of a typical stream, after which a slot is
+/// likely to be free.
 pub const RETRY_AFTER: Duration = Duration::from_millis(300);
-/// A client with less time than this many objectives of its route isn't told to come back: it would
-/// have waited for most of its time already.
+/// Deadline, in objectives of the route, below which a client isn't asked to retry: the retry delay
+/// would use up most of its time.
 pub const MIN_RETRY_OBJECTIVES: u32 = 6;
-/// How long a request waits for the first configuration and list of targets: under half of the
-/// usual objective of 300 ms, ten times what a start takes while the store answers.
+/// How long a request waits for the first configuration and target list: less than half of the usual
+/// objective of 300 ms, and ten times what a start takes while the store answers.
 pub const STARTUP_STATE_WAIT: Duration = Duration::from_millis(140);
-/// How often it looks for them.
+/// Poll interval of that wait.
 pub const STARTUP_STATE_POLL: Duration = Duration::from_millis(5);
-/// When a client should come back to a VM that doesn't know its configuration yet.
+/// Retry delay of a client that is refused for lack of state: the configuration isn't known yet or too old, or
+/// the limiter of an account can't be reached.
 pub const RETRY_AFTER_START: Duration = Duration::from_millis(300);
-/// An idle connection to a target is dropped this long before the target would close it.
+/// An idle connection is dropped this long before the target would close it.
 pub const IDLE_MARGIN: Duration = Duration::from_millis(700);
-/// How long a connection to a target is kept idle when the target doesn't say.
+/// Idle lifetime of a connection to a target that announces none.
 pub const IDLE_DEFAULT: Duration = Duration::from_millis(2_500);
-/// A request that can't be repeated takes only connections that were used this recently: an older
-/// one may have been dropped unseen, and then nobody knows whether the request ran.
+/// Maximum idle time of a connection that is reused for a request that can't be repeated. The target may
+/// already have dropped an older one, and then it is unknown whether the request ran.
 pub const NON_REPEATABLE_MAX_IDLE: Duration = Duration::from_millis(1_000);
-/// Idle connections to one target, at most; a target takes 200 from all gateways together.
+/// Maximum number of idle connections to one target. A target accepts 200 from all gateways together.
 pub const IDLE_PER_TARGET: usize = 16;
-/// Bytes of a target's answer head, at most.
+/// Maximum size of a target's response head.
 pub const ANSWER_HEAD_BYTES: usize = 32 << 10;
-/// Bytes of a plain answer, at most; a VM has 110 MB.
+/// Maximum size of a non-streaming answer, which is buffered whole; a VM has 110 MB of memory.
 pub const ANSWER_BODY_BYTES: usize = 16 << 20;
-/// Longest time for a request's body, from its head on.
+/// Timeout of a request's body, counted from the end of its head.
 pub const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Bytes of requests that a client sends ahead of an answer, at most, before we stop reading.
+/// Maximum size of what a client may send ahead (pipeline) while an earlier request is served. Beyond it
+/// the connection isn't read until that answer is complete.
 pub const READ_AHEAD_BYTES: usize = 64 << 10;
 
-/// How often use of targets is told to the other gateways when it changes. The home of a target hears of
-/// each use at once; the others only choose by it whom to ask.
+/// Interval at which changed target use is reported to the other gateways. The home gateway of a target
+/// is told of each use at once; the others need reports only to choose which home gateway to ask.
 pub const REPORT_EVERY: Duration = Duration::from_millis(100);
-/// How often it is told when nothing changes.
+/// Interval at which unchanged target use is reported again.
 pub const REPORT_IDLE: Duration = Duration::from_millis(1_000);
-/// Least time between two words of the work that waits here: in a burst of ninety times the usual jobs, a
-/// hundredth of what can be done in time comes meanwhile, at all gateways.
+/// Minimum interval between two announcements of the work that waits here. In a burst of ninety times the
+/// usual job rate, the jobs that arrive at all gateways within this interval amount to a hundredth of
+/// what can be completed in time.
 pub const DEMAND_PAUSE: Duration = Duration::from_millis(10);
-/// How often it is looked what work waits here and what places it finds, beside after each job.
+/// Interval at which waiting work and available slots are evaluated, in addition to after each job.
 pub const DEMAND_EVERY: Duration = Duration::from_millis(100);
-/// A gateway that started so recently may not have heard yet what work waits at the others: links form meanwhile.
+/// Age below which a gateway may not know yet what work waits at the others, as its links are still being
+/// established.
 pub const DEMAND_SYNC_TIME: Duration = Duration::from_millis(2_000);
-/// How often it is told when little changes.
+/// Interval at which nearly unchanged demand is announced again.
 pub const DEMAND_IDLE: Duration = Duration::from_millis(1_000);
-/// A gateway whose link is down this long is taken for dead and its jobs are taken over.
+/// A gateway whose link has been down this long is considered dead, and its jobs are taken over.
 pub const PEER_DEAD_AFTER: Duration = Duration::from_millis(1_000);
-/// Who read the gateways' entries this recently knows every gateway that may take jobs over: a watch of
-/// them that tells nothing ends after 2.5 s, and the next one begins 1.5 s later.
+/// Maximum age of the last read of the gateways' entries for this gateway to know every peer that could
+/// take jobs over. A watch on the entries without changes ends after 2.5 s, and the next one starts 1.5 s
+/// later.
 pub const ENTRIES_FRESH: Duration = Duration::from_millis(5_000);
-/// A gateway that was never linked to is taken for dead after this long. Invariant: above
-/// [`ENTRIES_FRESH`] by more than a handshake: it knows us by then, or knows that it may not.
+/// A gateway that never had a link to this one is considered dead after this long. Must exceed
+/// [`ENTRIES_FRESH`] by more than a handshake: by then the peer either knows this gateway or knows that
+/// its own entries are too old to take jobs over.
 pub const FIRST_LINK_TIMEOUT: Duration = Duration::from_millis(6_500);
-/// A gateway that hasn't heard a peer for this long asks the store before it says that a job has no more
-/// results. Invariants: shorter than [`PEER_DEAD_AFTER`] by more than a message's way takes, and at least twice
-/// the links' heartbeat.
+/// A peer from which nothing came for this long is silent: while any peer is, the store is asked before a
+/// read reports that a job has no more results. Must be shorter than [`PEER_DEAD_AFTER`] by more than a
+/// message's transit time, and at least twice the links' heartbeat interval.
 pub const PEER_SILENT_AFTER: Duration = Duration::from_millis(600);
-/// How often the other gateways are looked at.
+/// Interval between checks of the other gateways.
 pub const PEER_TICK: Duration = Duration::from_millis(250);
-/// From a gateway's start to its first search for jobs that nobody owns: links form meanwhile.
+/// Delay from a gateway's start to its first search for jobs without an owner, so that links can be
+/// established first.
 pub const ORPHAN_SEARCH_DELAY: Duration = Duration::from_millis(1_500);
-/// Between two searches while such jobs are left to others.
+/// Interval between such searches while the jobs found are left to other gateways.
 pub const ORPHAN_SEARCH_INTERVAL: Duration = Duration::from_millis(1_500);
 
-/// Gateways that watch the store at the same time; the others hear of changes from them. Every call
-/// costs, a waiting one too: 27 gateways that all watched made 2,400 calls in a minute. With four,
-/// a cut that takes a third of the gateways from the store takes all of these in 1 of 100 cases.
+/// Number of gateways that watch the store at the same time; they pass changes on to the others. Every
+/// call costs, including a pending watch: 27 gateways that all watched made 2,400 calls in a minute. With
+/// four watchers, a partition that separates a third of the gateways from the store hits all four in 1
+/// of 100 cases.
 pub const STORE_WATCHERS: usize = 4;
-/// From a gateway's start until others have told whether they watch: links form meanwhile.
+/// How long a gateway that has just started waits for the others to announce whether they watch, as links
+/// are still being established.
 pub const WATCH_START_DELAY: Duration = Duration::from_millis(1_500);
-/// How often a gateway that doesn't watch looks whether it has to.
+/// Interval at which a gateway that doesn't watch the store checks whether it has to.
 pub const WATCH_CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Least time between two answers of a watch of the gateways' entries: links tell sooner who is
-/// there, and at a start every entry would wake everyone.
+/// Pause between two watch calls for the gateways' entries. Links show sooner which gateways are alive,
+/// and when many start together each entry would wake every gateway.
 pub const GATEWAY_WATCH_PAUSE: Duration = Duration::from_millis(1_500);
-/// Pause after a failed call to the store before the next one, at most; half of it at least. A
-/// cold start and the end of an outage wait for it.
+/// Upper bound of the randomized pause after a failed store call; the lower bound is half of it. A cold
+/// start, and recovery after a store outage, are delayed by up to this.
 pub const STORE_PAUSE: Duration = Duration::from_millis(400);
-/// The store doesn't answer for this long before calls go through another gateway: one lost answer
-/// or two are no reason, and clients give a job 4 s to be taken.
+/// The store must have been unreachable this long before calls are forwarded to another gateway. A lost
+/// answer or two don't justify that, and clients allow 4 s for a job to be accepted.
 pub const DETOUR_AFTER: Duration = Duration::from_millis(250);
-/// Between two direct calls while others go through another gateway: a direct call that isn't
-/// answered takes half a second, and the first one that is ends the detour.
+/// Interval between direct store calls while all others are forwarded to another gateway. An unanswered direct
+/// call takes half a second; the first answered one ends the forwarding.
 pub const DETOUR_PROBE_INTERVAL: Duration = Duration::from_secs(3);
-/// Pause after another gateway could not help either: the store is likely away for all.
+/// Pause after another gateway could not reach the store either: it is probably down for all.
 pub const DETOUR_PAUSE: Duration = Duration::from_millis(1_000);
-/// A read that may be held asks the store for a job that nobody owns this often, at most.
+/// Minimum interval between store reads of a job without an owner on behalf of a long-polling client.
 pub const UNOWNED_JOB_READ_INTERVAL: Duration = Duration::from_millis(2_000);
-/// Added to a watch's wait before its connection is taken for dead.
+/// Time beyond a watch's own wait after which its connection is considered dead.
 pub const WATCH_GRACE: Duration = Duration::from_millis(700);
-/// How long entries that lapsed in an outage are kept after it: living targets are back in two
-/// seconds.
+/// How long target entries that expired in a store outage are kept after it: live targets have renewed
+/// theirs within two seconds.
 pub const LAPSE_GRACE: Duration = Duration::from_millis(2_200);
-/// A store that was away this long may have let entries lapse: three heartbeats of a target.
+/// Minimum length of a store outage in which entries may have expired: three heartbeats of a target.
 pub const LAPSE_OUTAGE: Duration = Duration::from_millis(1_000);
-/// Bytes of one object that we write, at most: the store takes 1 MiB.
+/// Maximum size of an object that is written to the store, which accepts 1 MiB.
 pub const OBJECT_BYTES: usize = 900 << 10;
-/// Bytes of results in one answer to a client, at most: clients take 1 MB.
+/// Maximum size of the results in one response; clients accept 1 MB.
 pub const RESULT_PAGE_BYTES: usize = 900 << 10;
-/// Results wait this long for others before they are stored: ten items of a job end within a
-/// second or two, so a job takes a few writes instead of ten. Reads come every half second.
+/// How long results are collected before they are stored. Ten items of a job end within a second or two,
+/// so that a job takes a few writes instead of ten. Clients read every half second.
 pub const RESULT_DELAY: Duration = Duration::from_millis(400);
-/// Attempts at a share of a limit for one job: each that another gateway was faster at costs a call.
+/// Maximum number of attempts to write a share of a limit for one job; each one that loses a race against
+/// another gateway costs a store call.
 pub const LIMIT_SHARE_ATTEMPTS: usize = 6;
-/// Longest time until it's decided whether a job fits under a limit: two calls to a store that takes a
-/// quarter of a second, with the answers of other gateways. Clients count a job that is taken within
-/// 400 ms; one that can't be decided soon after that does better to come again.
+/// Timeout of the decision whether a job fits under a limit: two calls to a store that takes a quarter of
+/// a second each, plus the other gateways' answers. Clients count a job as accepted if that takes at
+/// most 400 ms; one that isn't decided soon after is better submitted again.
 pub const LIMIT_DECISION_TIMEOUT: Duration = Duration::from_millis(600);
-/// Who has heard all gateways for so long knows every job that its client may send again: clients send one
-/// again within seconds.
+/// How far back jobs must be known to recognize one that its client submits again: clients do so within
+/// seconds.
 pub const CLIENT_RESEND_WINDOW: Duration = Duration::from_secs(10);
-/// A job that isn't stored after this long is told to the other gateways: a write takes a few milliseconds.
+/// The other gateways are told of a job whose write to the store takes longer than this; a write normally
+/// takes a few milliseconds.
 pub const JOB_STORING_NOTICE_DELAY: Duration = Duration::from_millis(100);
-/// Longest look in the store for a job that is about to be refused.
+/// Timeout of the store lookup of a job that is about to be refused.
 pub const REFUSAL_LOOKUP_TIMEOUT: Duration = Duration::from_millis(400);
-/// Longest wait for the store's answer about shares: a write that isn't answered, or a read. One that is lost is tried again in time.
+/// Timeout of a store call that reads or writes shares. A lost write leaves time for another attempt.
 pub const LIMIT_STORE_TIMEOUT: Duration = Duration::from_millis(400);
-/// Longest wait for other gateways to say what they still hold of a limit: an answer takes a few
+/// Timeout of other gateways' answers about what they still hold of a limit; one takes a few
 /// milliseconds.
 pub const LIMIT_PEER_TIMEOUT: Duration = Duration::from_millis(150);
-/// How often it's looked whether there is room under limits for the next jobs, beside after each job.
+/// Interval at which the capacity left under limits is checked for the next jobs, in addition to after
+/// each job.
 pub const ROOM_TICK: Duration = Duration::from_millis(1_000);
-/// A gateway that hasn't been there this long has lost its shares of limits: it takes no more of its
-/// jobs in, for those it sent to the store before have been stored or turned away by then.
+/// A gateway that has been gone this long loses its shares of limits. It accepts no more jobs on them, and
+/// those it sent to the store before have been stored or rejected by then.
 pub const SHARE_HOLDER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Longest time for a job to be stored before the client is told that its fate is unknown.
+/// Timeout of storing a job; after it the client is told that the outcome is unknown.
 pub const INTAKE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Bytes of open jobs that a gateway holds, at most; more are refused.
+/// Maximum total size of the open jobs that a gateway holds; more are refused.
 pub const JOB_BYTES: usize = 24 << 20;
-/// Bytes of results of other gateways' and of closed jobs that are kept for readers, at most.
+/// Maximum total size of cached results of closed jobs and of jobs that other gateways own.
 pub const COPY_BYTES: usize = 4 << 20;
-/// Between two searches for jobs whose results needn't be kept any longer, at most: a search is a
-/// call or two, and jobs are kept for an hour or so.
+/// Maximum interval between searches for jobs past their retention. A search takes a call or two, and jobs
+/// are kept for about an hour.
 pub const RETENTION_TICK: Duration = Duration::from_secs(60);
-/// Jobs are kept this much longer, for wall clocks of two VMs that differ.
+/// Extra retention that allows for clock differences between two VMs.
 pub const RETENTION_MARGIN: Duration = Duration::from_secs(30);
-/// Items started in one pass of the runner, at most, so that reports go out between passes.
+/// Maximum number of items started in one pass of the runner, so that reports are sent between passes.
 pub const STARTS_PER_PASS: usize = 6;
-/// An item runs at least this long before it's broken off for online work: what the others report
-/// of a target is that old, and a start costs a prompt's reading.
+/// Minimum run time of an item before it is preempted for online work: the other gateways' reports about
+/// its target are up to this old, and each start repeats the prefill of the prompt.
 pub const PREEMPT_AGE: Duration = Duration::from_millis(200);
-/// Pause between passes of the runner while items wait for places.
+/// Interval between passes of the runner while items wait for slots.
 pub const RUNNER_TICK: Duration = Duration::from_millis(40);
-/// Pause of an item that found its target full or gone.
+/// Pause before an item that found its target full or gone is tried again.
 pub const ITEM_RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// An owner whose write of results wasn't answered for this long asks the store before it says that
-/// there is nothing more: an answer usually takes a few milliseconds.
+/// An owner whose write of results has been unconfirmed for this long asks the store before it reports that
+/// there is nothing more; a write is normally confirmed within a few milliseconds.
 pub const WRITE_CONFIRM_TIMEOUT: Duration = Duration::from_millis(100);
-/// Longest wait for another gateway to tell an item's body, which it holds in memory; the store is asked then.
+/// Timeout of another gateway's answer with an item's body, which it holds in memory; after it the store is
+/// read.
 pub const BODY_PEER_TIMEOUT: Duration = Duration::from_millis(150);
-/// Longest wait for a peer's answer beyond the wait that it was asked for.
+/// Extra time for a peer's answer beyond the wait that the call itself asked for.
 pub const PEER_CALL_GRACE: Duration = Duration::from_millis(300);
-/// Links that form again after a cut come within this time; jobs are checked once for all of them.
+/// After a partition links come back within this time; ownership of jobs is checked once for all of them.
 pub const VERIFY_DELAY: Duration = Duration::from_millis(200);
-/// Longest wait of a read for news that is passed on to a peer.
+/// Maximum long-poll wait of a read that is forwarded to a peer.
 pub const PEER_READ_WAIT: Duration = Duration::from_millis(900);
 
-/// From the signal to stop until new connections may be refused: the platform takes a VM out after
-/// two questions, a second apart.
+/// Time from the stop signal until new connections may be refused: the platform takes a VM out of rotation
+/// after two readiness probes, a second apart.
 pub const STOP_ACCEPT: Duration = Duration::from_millis(3_500);
-/// From the signal to stop until jobs are left to other gateways: half of their runs end by
-/// themselves meanwhile.
+/// Time from the stop signal until jobs are handed over to other gateways; half of their runs end by
+/// themselves in the meantime.
 pub const STOP_JOB_HANDOVER: Duration = Duration::from_millis(2_500);
-/// The same when no other gateway is there to take them: one that restarts may be by then.
+/// The same while no other gateway can take them over; one that restarts may be available by then.
 pub const STOP_JOB_HANDOVER_ALONE: Duration = Duration::from_millis(6_700);
-/// From the signal to stop until idle connections are closed.
+/// Time from the stop signal until idle connections are closed.
 pub const STOP_IDLE: Duration = Duration::from_millis(4_500);
-/// From the signal to stop until the process ends whatever runs; it is killed after 8 s.
+/// Time from the stop signal until the process exits regardless of what still runs; the platform kills it
+/// after 8 s.
 pub const STOP_DEADLINE: Duration = Duration::from_millis(7_200);
--- a/crates/entry/src/front.rs
+++ b/crates/entry/src/front.rs
@@ -1,6 +1,6 @@
-//! Clients' connections, and what the platform asks of this VM.
+//! The HTTP front end: client connections, and the readiness and metrics endpoints.
 
 pub mod answer;
 pub mod connection;
+pub mod endpoints;
 pub mod listener;
-pub mod pages;
--- a/crates/entry/src/front/connection.rs
+++ b/crates/entry/src/front/connection.rs
@@ -1,4 +1,4 @@
-//! One client's connection: requests one after the other.
+//! A client connection, on which requests are served one after the other.
 
 use std::sync::Arc;
 
@@ -26,7 +26,7 @@
     },
 };
 
-/// Serves one client's connection to its end.
+/// Serves a client connection until it ends.
 pub async fn serve_client(node: Arc<EntryNode>, stream: TcpStream) {
     let mut client =
         ClientConnection { node: &node, reader: WireReader::new(stream.clone()), stream };
@@ -44,50 +44,51 @@
 }
 
 impl ClientConnection<'_> {
-    /// Waits for a request's first byte; false when the connection should end.
+    /// Waits for a request's first byte; false when the connection is to be closed.
     async fn await_request(&mut self) -> bool {
         if self.reader.has_buffered() {
             return true;
         }
-        let Some(idle_end) = self.node.stop.idle_end() else { return false };
+        let Some(idle_close) = self.node.stop.idle_close() else { return false };
         let idle = self.node.routes().map_or_else(ClientLimits::default, |r| r.limits().clone());
         let filling = timeout(idle.idle_timeout, self.reader.fill());
         pin_mut!(filling);
-        match select(filling, idle_end).await {
+        match select(filling, idle_close).await {
             Either::Left((Ok(Ok(read)), _)) => read > 0,
             Either::Left(_) | Either::Right(_) => false,
         }
     }
 
-    /// The configuration in force. A gateway that has just started reads it and the targets within
-    /// some 20 ms: refused meanwhile, a client would come back later than it could have been served.
-    async fn await_knowledge(&self) -> Option<Arc<RouteTable>> {
+    /// Waits until the configuration and the targets are known, at most [`STARTUP_STATE_WAIT`], and returns the
+    /// routes in force if there are any. A gateway that has just started reads them within some 20 ms, which is less
+    /// than the retry delay of a refused client.
+    async fn await_startup_state(&self) -> Option<Arc<RouteTable>> {
         let began = self.node.clock.mono();
         loop {
             let routes = self.node.routes();
-            if self.node.has_begun() || self.node.clock.mono().since(began) >= STARTUP_STATE_WAIT {
+            if self.node.was_synced() || self.node.clock.mono().since(began) >= STARTUP_STATE_WAIT {
                 return routes;
             }
             task::sleep(STARTUP_STATE_POLL).await;
         }
     }
 
-    /// Serves the request that has begun; false when the connection must end.
+    /// Serves the request whose first bytes were read; false when the connection must be closed.
     async fn serve_request(&mut self) -> bool {
         let _active = self.node.stop.enter();
-        let routes = self.await_knowledge().await;
+        let routes = self.await_startup_state().await;
         let limits = routes.as_ref().map_or_else(ClientLimits::default, |r| r.limits().clone());
         let reading = self.reader.request_head(limits.head_bytes);
         let head = match timeout(limits.head_timeout, reading).await {
             Ok(Ok(Some(head))) => head,
             Ok(Ok(None)) => return false,
-            Ok(Err(error)) => return self.reject_unread(error).await,
+            Ok(Err(error)) => return self.reject_unreadable(error).await,
             Err(_) => return self.write_last(408).await,
         };
         let arrived = self.node.clock.mono();
         let body = match self.read_body(&head, limits.body_bytes).await {
             Ok(body) => body,
-            Err(error) => return self.reject_unread(error).await,
+            Err(error) => return self.reject_unreadable(error).await,
         };
         let keep = head.keep_alive && !self.node.stop.is_stopping();
         let answer = match ClientCall::decode(&head) {
@@ -105,7 +106,7 @@
         self.write(&answer, None, keep).await
     }
 
-    /// Serves a call about a job, for the account that sent the job.
+    /// Serves a call about a job; only the account that submitted the job has access to it.
     async fn job_call(
         &self,
         routes: Option<&RouteTable>,
@@ -113,7 +114,8 @@
         job: &str,
         call: JobCall,
     ) -> OwnAnswer {
-        // Which route the job came on isn't told; a gateway without a configuration can't tell accounts apart.
+        // The call doesn't name the route that the job came on. Without a configuration, accounts can't be
+        // told apart.
         let Some(routes) = routes else { return OwnAnswer::refused(RETRY_AFTER_START) };
         let is_public = routes.is_public_host(head.headers.get("Host").unwrap_or_default());
         let caller = match admission::identify(routes, head, is_public) {
@@ -130,6 +132,7 @@
         }
     }
 
+    /// Serves a request on a route of the configuration: accepts a job, or relays an online request.
     async fn routed(
         &mut self,
         routes: Option<&RouteTable>,
@@ -173,13 +176,13 @@
             }
         };
         let account = routes.accounts().map(|_| caller.account_name().to_owned());
-        let terms = RequestAccount { account, credit };
-        let request = OnlineRequest::new(head, body, route, routes.version(), arrived, terms);
+        let account = RequestAccount { account, credit };
+        let request = OnlineRequest::new(head, body, route, routes.version(), arrived, account);
         let delivery = self.relay(&request).await;
         Routed::Delivered(delivery)
     }
 
-    /// The answer to a request that isn't let in.
+    /// Logs and counts the refusal of a request, and returns the response to it.
     fn refuse(
         &self,
         id: Option<&str>,
@@ -205,14 +208,14 @@
         answer
     }
 
-    /// Relays a request, and drops the relay when the client closes its connection: the target's
-    /// work for it would be for nobody.
+    /// Relays a request. When the client closes its connection, the relay is dropped, so that the target doesn't
+    /// go on working for nobody.
     async fn relay(&mut self, request: &OnlineRequest) -> Delivery {
         let close = !request.head.keep_alive || self.node.stop.is_stopping();
         let relaying = RequestRelay::new(self.node, request, &self.stream, close).run();
-        let leaving = client_left(&mut self.reader);
-        pin_mut!(relaying, leaving);
-        match select(relaying, leaving).await {
+        let closing = client_closed(&mut self.reader);
+        pin_mut!(relaying, closing);
+        match select(relaying, closing).await {
             Either::Left((delivery, _)) => delivery,
             Either::Right(_) => {
                 RequestRelay::log_client_gone(self.node, request);
@@ -221,7 +224,11 @@
         }
     }
 
-    async fn read_body(&mut self, head: &RequestHead, most: usize) -> Result<Vec<u8>, WireError> {
+    async fn read_body(
+        &mut self,
+        head: &RequestHead,
+        max_bytes: usize,
+    ) -> Result<Vec<u8>, WireError> {
         let framing = head.framing()?;
         if framing == BodyFraming::Length(0) {
             return Ok(Vec::new());
@@ -229,11 +236,11 @@
         if head.headers.lists("expect", "100-continue") {
             write_all(&self.stream, b"HTTP/1.1 100 Continue\r\n\r\n").await?;
         }
-        let reading = self.reader.whole_body(framing, most);
+        let reading = self.reader.whole_body(framing, max_bytes);
         timeout(BODY_TIMEOUT, reading).await.unwrap_or(Err(WireError::Closed))
     }
 
-    async fn reject_unread(&mut self, error: WireError) -> bool {
+    async fn reject_unreadable(&mut self, error: WireError) -> bool {
         match error {
             WireError::Closed | WireError::Io(_) => false,
             WireError::Malformed => self.write_last(400).await,
@@ -241,7 +248,8 @@
         }
     }
 
-    /// Answers a request that was not read to its end: nothing after it can be told apart.
+    /// Answers a request that could not be read to its end, and closes the connection, as the start of the next
+    /// request is unknown.
     async fn write_last(&mut self, status: u16) -> bool {
         self.log_refusal(None, "unreadable", status);
         self.write(&OwnAnswer::of(status), None, false).await;
@@ -280,8 +288,9 @@
     Delivered(Delivery),
 }
 
-/// Ends when the client closes its connection. What it sends ahead is kept, up to a bound.
-async fn client_left(reader: &mut WireReader) {
+/// Waits until the client closes its connection. Pipelined bytes are kept, up to [`READ_AHEAD_BYTES`]; beyond that a
+/// close goes unnoticed.
+async fn client_closed(reader: &mut WireReader) {
     loop {
         if reader.buffered_len() > READ_AHEAD_BYTES {
             pending::<()>().await;
--- a/crates/entry/src/gateway.rs
+++ b/crates/entry/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway: starts every task, and stops them in order.
+//! Startup, maintenance and graceful stop of a gateway.
 
 use std::{net::SocketAddr, path::PathBuf, sync::Arc, time::Duration};
 
@@ -23,11 +23,11 @@
     forgetting::forget_routes,
     front::{
         connection::serve_client,
+        endpoints::{serve_metrics, serve_ready},
         listener::listen,
-        pages::{serve_metrics, serve_ready},
     },
     node::EntryNode,
-    peers::{demands, detours, hub, pushes, reports},
+    peers::{demands, links, pushes, reports, store_forwarding},
     retirements,
     store::{
         feed::{FeedPlan, follow},
@@ -36,18 +36,18 @@
     target::liveness,
 };
 
-/// How often the end of a stop is looked for.
+/// Interval at which a stop checks whether it is complete.
 const STOP_TICK: Duration = Duration::from_millis(100);
-/// How often calls to the store are logged when there were any: a line a gateway is little beside one
-/// for each request.
-const COUNTS_EVERY: Duration = Duration::from_secs(10);
-/// How often idle connections and lapsed entries are looked at.
-const CLEAN_TICK: Duration = Duration::from_millis(500);
+/// Interval at which the counts of store calls are logged if there were any: one line per gateway, few
+/// compared to one for each request.
+const COUNT_LOG_INTERVAL: Duration = Duration::from_secs(10);
+/// Interval of the maintenance task, which drops idle connections and expired entries.
+const MAINTENANCE_TICK: Duration = Duration::from_millis(500);
 
-/// Runs the gateway until it is told to stop.
+/// Runs the gateway until a signal to stop, then stops it gracefully.
 ///
 /// # Errors
-/// An address can't be listened on, or signals can't be caught.
+/// The gateway can't be started, see [`start`], or signal handlers can't be installed.
 pub async fn run(config: EntryConfig, path: PathBuf) -> Result<(), EntryError> {
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(EntryError::Signals)?;
     let node = start(config).await?;
@@ -74,14 +74,14 @@
 /// Starts a gateway's tasks and listeners; they run until the process ends.
 ///
 /// # Errors
-/// An address can't be listened on, or the links' secret can't be read.
+/// A listener's address can't be bound, or the links' secret can't be read.
 pub async fn start(config: EntryConfig) -> Result<Arc<EntryNode>, EntryError> {
     let secret = config.links.read_secret().map_err(EntryError::Settings)?;
     let settings = link_settings(&config, &secret);
-    let (node, detours) = EntryNode::new(config);
+    let (node, forwarded) = EntryNode::new(config);
     let node = Arc::new(node);
     start_tasks(&node, &settings);
-    task::spawn(detours::pass_calls(Arc::clone(&node), detours));
+    task::spawn(store_forwarding::forward_calls(Arc::clone(&node), forwarded));
     start_listeners(&node, settings).await?;
     Ok(node)
 }
@@ -102,11 +102,11 @@
 fn start_tasks(node: &Arc<EntryNode>, settings: &LinkSettings) {
     task::spawn(follow_configuration(Arc::clone(node)));
     task::spawn(follow_targets(Arc::clone(node)));
-    task::spawn(hub::follow_gateways(Arc::clone(node), settings.clone()));
+    task::spawn(links::follow_gateways(Arc::clone(node), settings.clone()));
     task::spawn(ends::follow_ends(Arc::clone(node)));
-    task::spawn(reports::tell_uses(Arc::clone(node)));
+    task::spawn(reports::broadcast_uses(Arc::clone(node)));
     task::spawn(pushes::push_changes(Arc::clone(node)));
-    task::spawn(demands::tell_demands(Arc::clone(node)));
+    task::spawn(demands::broadcast_demands(Arc::clone(node)));
     task::spawn(runner::run_jobs(Arc::clone(node)));
     task::spawn(takeover::watch_owners(Arc::clone(node)));
     task::spawn(liveness::probe_silent(Arc::clone(node)));
@@ -114,15 +114,15 @@
     task::spawn(freshness::keep_fresh(Arc::clone(node)));
     task::spawn(retention::delete_old_jobs(Arc::clone(node)));
     task::spawn(retirements::answer_retirements(Arc::clone(node)));
-    task::spawn(tell_counts(Arc::clone(node)));
-    task::spawn(clean(Arc::clone(node)));
+    task::spawn(log_counts(Arc::clone(node)));
+    task::spawn(maintain(Arc::clone(node)));
 }
 
 async fn start_listeners(node: &Arc<EntryNode>, settings: LinkSettings) -> Result<(), EntryError> {
     let listen_at = &node.config.listen;
-    let links = LinkListener::start(listen_at.links, settings, hub::link_sink(node)).await;
-    // It lives as long as the process.
-    std::mem::forget(links.map_err(|e| EntryError::Listen("links", e))?);
+    let listener = LinkListener::start(listen_at.links, settings, links::link_sink(node)).await;
+    // The link listener has to live as long as the process.
+    std::mem::forget(listener.map_err(|e| EntryError::Listen("links", e))?);
     let shared = Arc::clone(node);
     listen(listen_at.ready, move |stream| serve_ready(Arc::clone(&shared), stream))
         .await
@@ -135,7 +135,7 @@
     Ok(())
 }
 
-/// Metrics are no reason not to serve.
+/// Starts the metrics endpoint. A failure is only logged, as the gateway can serve clients without it.
 async fn start_metrics(node: &Arc<EntryNode>, address: SocketAddr) {
     let shared = Arc::clone(node);
     let listening = listen(address, move |stream| serve_metrics(Arc::clone(&shared), stream)).await;
@@ -154,7 +154,7 @@
         };
         for spec in objects.iter().filter_map(|object| object.spec.as_ref()) {
             let version = node.take_configuration(spec, "store");
-            // A watch may have missed changes; a list hasn't.
+            // Only a list proves that this is the newest version; a watch may have missed changes.
             if let (Some(version), Some(as_of)) = (version, listed) {
                 node.note_proof(ConfigurationProof { version, as_of });
             }
@@ -168,28 +168,28 @@
     follow(&node.store, TARGET_KIND, plan, |event| node.take_target_event(event)).await;
 }
 
-/// Logs what is counted, so that little of the account is lost with a gateway that is killed.
-async fn tell_counts(node: Arc<EntryNode>) {
+/// Logs the counts of store calls and job reads at intervals, so that few are lost when the gateway is killed.
+async fn log_counts(node: Arc<EntryNode>) {
     loop {
-        task::sleep(COUNTS_EVERY).await;
+        task::sleep(COUNT_LOG_INTERVAL).await;
         node.store.calls().log(&node.log);
         node.reads.log(&node.log);
     }
 }
 
-async fn clean(node: Arc<EntryNode>) {
+async fn maintain(node: Arc<EntryNode>) {
     loop {
-        task::sleep(CLEAN_TICK).await;
+        task::sleep(MAINTENANCE_TICK).await;
         let now = node.clock.mono();
-        let (gone, revision) = {
+        let (expired, revision) = {
             let mut feed = node.target_feed();
             (feed.expire(now), feed.revision())
         };
-        node.apply_lapsed(gone, revision);
-        share_out_targets(&node);
+        node.apply_expired(expired, revision);
+        assign_home_gateways(&node);
         forget_routes(&node, now);
         node.peers.note_lost(now);
-        credit::look(&node, now);
+        credit::refresh_view(&node, now);
         node.accounts.credits().forget_idle(now);
         let known: FastSet<String> = node.targets().ids().map(str::to_owned).collect();
         node.pool.clean(|id| known.contains(id));
@@ -200,7 +200,7 @@
     }
 }
 
-fn share_out_targets(node: &EntryNode) {
+fn assign_home_gateways(node: &EntryNode) {
     let own = node.config.node.vm.as_str();
     let mut gateways = node.peers.live_domains();
     gateways.push((own.to_owned(), node.config.node.domain.as_str().to_owned()));
@@ -221,45 +221,46 @@
     }
 }
 
-/// Stops: not ready at once, but everything that still comes is served; jobs are left to the others;
-/// idle connections end last.
+/// Stops gracefully. The gateway reports itself not ready at once but still serves every request, hands its jobs
+/// over to the others, and closes idle connections last.
 async fn stop(node: &Arc<EntryNode>) {
     node.stop.begin(node.clock.mono());
     node.metrics.set(Gauge::Leaving, 1);
     node.log.info("stopping", &[("active", &node.stop.active())]);
     node.peers.broadcast(&PeerMessage::Stopping);
-    let mut jobs_left = false;
+    let mut has_handed_over = false;
     loop {
         task::sleep(STOP_TICK).await;
-        // Hands over what is left of accounts' limits.
-        credit::look(node, node.clock.mono());
+        // Hands the remaining credit of accounts over to their new limiters.
+        credit::refresh_view(node, node.clock.mono());
         let age = node.stop.age(node.clock.mono());
         let has_successors = !node.peers.successor_vms().is_empty();
-        if !jobs_left
+        if !has_handed_over
             && (age >= STOP_JOB_HANDOVER_ALONE || (has_successors && age >= STOP_JOB_HANDOVER))
         {
             hand_over_jobs(node).await;
-            jobs_left = true;
+            has_handed_over = true;
         }
         if age >= STOP_IDLE {
-            node.stop.end_idle();
+            node.stop.close_idle();
         }
-        let is_quiet = node.stop.active() == 0 && (jobs_left || node.jobs().board.is_idle());
-        if age >= STOP_DEADLINE || (is_quiet && age >= STOP_IDLE.max(STOP_ACCEPT)) {
+        let is_drained =
+            node.stop.active() == 0 && (has_handed_over || node.jobs().board.is_idle());
+        if age >= STOP_DEADLINE || (is_drained && age >= STOP_IDLE.max(STOP_ACCEPT)) {
             break;
         }
     }
     node.store.calls().log(&node.log);
     node.reads.log(&node.log);
     node.log.info("stopped", &[("active", &node.stop.active())]);
-    // The log's thread needs a moment for the last lines.
+    // Gives the log thread time to write the last lines.
     task::sleep(STOP_TICK).await;
 }
 
-/// Leaves the jobs to the other gateways, which take them over at once instead of after a silence,
-/// and go on from what their items' runs brought so far.
+/// Hands the jobs over to the other gateways, which take them over at once instead of after
+/// [`PEER_DEAD_AFTER`](crate::constants::PEER_DEAD_AFTER), and resume the items' runs from their progress so far.
 pub async fn hand_over_jobs(node: &EntryNode) {
-    node.stop.hand_over();
+    node.stop.begin_handover();
     let jobs = {
         let mut desk = node.jobs();
         let jobs = desk.board.ids();
@@ -268,7 +269,7 @@
         }
         jobs
     };
-    // Runs that were cancelled hand in their progress.
+    // The cancelled runs report their progress meanwhile.
     task::sleep(STOP_TICK).await;
     for job in &jobs {
         let held = node.jobs().board.get(job).map(OwnedJob::progress);
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -1,4 +1,4 @@
-//! What all tasks of a gateway share.
+//! State shared by all tasks of a gateway.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, RwLock, atomic::AtomicBool};
 
@@ -39,47 +39,47 @@
     target::{connection::TargetConnection, pool::TargetPool},
 };
 
-/// What all tasks of a gateway share. Locks are held for moments, never across an await; where two
-/// are taken, jobs come before targets, before limits and before the intake.
+/// State shared by all tasks of a gateway. Locks are held only briefly, never across an await. Lock order: jobs,
+/// targets, limits, intake.
 #[derive(Debug)]
 pub struct EntryNode {
-    /// The settings at the start.
+    /// Settings as read at the start; a reload doesn't change them.
     pub config: EntryConfig,
-    /// This process: its VM with its incarnation, as it stands in jobs that it owns.
+    /// Identity of this process, VM name and incarnation, as recorded in the jobs that it owns.
     pub owner: String,
-    /// Both clocks.
+    /// Clocks of the process.
     pub clock: NodeClock,
-    /// The log.
+    /// Event log.
     pub log: NodeLog,
-    /// The metrics.
+    /// Exported metrics.
     pub metrics: Metrics,
-    /// The store.
+    /// Client of the store.
     pub store: StoreClient,
-    /// Whether this gateway follows the store.
+    /// Whether this gateway watches the store itself.
     pub watch: WatchDuty,
-    /// This gateway's part in limits on waiting jobs.
+    /// This gateway's shares of the limits on waiting jobs.
     pub limits: LimitDesk,
-    /// Client accounts.
+    /// State of client accounts.
     pub accounts: AccountState,
-    /// How long reads of jobs took.
+    /// Latency counts of job reads.
     pub reads: ReadTallies,
     /// Idle connections to targets.
     pub pool: TargetPool,
-    /// The other gateways.
+    /// What is known of the other gateways, and the links to them.
     pub peers: PeerTable,
-    /// Whether the process is stopping.
+    /// Progress of a graceful stop.
     pub stop: StopState,
-    /// Told when results were stored or a job ended.
+    /// Notified when results were stored, a job ended or its owner became known.
     pub job_updates: Event,
-    /// Told when a job is being taken in.
+    /// Notified when a job is being accepted.
     pub jobs_taken: Event,
-    /// Told when items may have become ready to run.
+    /// Notified when items may have become ready to run.
     pub runner_wake: Event,
-    /// Told when the configuration or a target changed.
+    /// Notified when the configuration or a target changed.
     pub state_changed: Event,
-    /// Told when a target has started again.
+    /// Notified when a target has restarted.
     pub target_restarts: Event,
-    /// Whether all jobs are about to be checked for their owner.
+    /// Whether a check of the ownership of all jobs is scheduled.
     pub is_verifying: AtomicBool,
     configuration: RwLock<Option<ConfigurationInForce>>,
     targets: Mutex<TargetTable>,
@@ -92,8 +92,7 @@
 }
 
 impl EntryNode {
-    /// A node that knows nothing yet, and the calls to the store that another gateway should make
-    /// for it.
+    /// Creates a node without any state, and the queue of store calls to be forwarded through another gateway.
     pub fn new(config: EntryConfig) -> (Self, Receiver<DetourCall>) {
         let clock = NodeClock::start();
         let log = NodeLog::new(&config.node.vm, &config.node.domain);
@@ -140,42 +139,42 @@
         (node, detours)
     }
 
-    /// The targets.
+    /// Table of targets, from which requests and items choose.
     pub fn targets(&self) -> MutexGuard<'_, TargetTable> {
         self.targets.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The targets' entries by revision.
+    /// Target entries as the store has them, by revision.
     pub fn target_feed(&self) -> MutexGuard<'_, TargetFeed> {
         self.target_feed.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The jobs.
+    /// Jobs that this gateway owns, runs or keeps copies of.
     pub fn jobs(&self) -> MutexGuard<'_, JobDesk> {
         self.jobs.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Requests that crash targets.
+    /// Fingerprints of requests that crash targets.
     pub fn crashes(&self) -> MutexGuard<'_, CrashTable> {
         self.crashes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How long clients wait.
+    /// Client deadlines seen on each route, by which retries are recognized.
     pub fn patience(&self) -> MutexGuard<'_, PatienceTable> {
         self.patience.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Routes that the configuration in force doesn't name any more.
+    /// Routes that the configuration in force no longer contains.
     pub fn dropped_routes(&self) -> MutexGuard<'_, DroppedRoutes> {
         self.dropped_routes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What is known of work and places when a job comes.
+    /// Waiting work and available slots, by which jobs are admitted.
     pub fn intake(&self) -> MutexGuard<'_, IntakeTable> {
         self.intake.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The configuration in force; `None` until a first one is known.
+    /// The routes of the configuration in force; `None` until a first one is known.
     pub fn routes(&self) -> Option<Arc<RouteTable>> {
         let current = self.configuration.read().unwrap_or_else(PoisonError::into_inner);
         current.as_ref().map(|c| Arc::clone(&c.routes))
@@ -192,30 +191,30 @@
         self.routes().map_or(0, |routes| routes.version())
     }
 
-    /// Versions of what is known from the store.
+    /// Versions of the configuration and the targets known here.
     pub fn known_versions(&self) -> KnownVersions {
         let configuration = self.configuration_version();
         let feed = self.target_feed();
         KnownVersions { configuration, targets: feed.known_since(), digest: feed.digest() }
     }
 
-    /// Whether this VM should take new connections: it knows the configuration and every target.
+    /// Whether this VM should receive new connections: it isn't stopping, and its state is current.
     pub fn is_ready(&self) -> bool {
-        !self.stop.is_stopping() && self.is_informed()
+        !self.stop.is_stopping() && self.is_synced()
     }
 
-    /// Whether requests can be served by what is known: the configuration, which mustn't be too old where
-    /// there are accounts, and every target.
-    pub fn is_informed(&self) -> bool {
+    /// Whether the state that requests need is current: the whole target list and the configuration, which must not be
+    /// too old where there are accounts.
+    pub fn is_synced(&self) -> bool {
         let Some(routes) = self.routes() else { return false };
         let is_fresh =
             routes.accounts().is_none() || self.accounts.age().is_fresh(self.clock.boot());
         is_fresh && self.target_feed().is_whole()
     }
 
-    /// Whether everything that requests are served by was known once. What is too old since then is told at once;
-    /// a wait for it would only make its clients late elsewhere.
-    pub fn has_begun(&self) -> bool {
+    /// Whether the state that requests need has been complete once. If the configuration has become too old since,
+    /// requests are refused at once: waiting would only delay their retry at another gateway.
+    pub fn was_synced(&self) -> bool {
         let Some(routes) = self.routes() else { return false };
         let was_proved = routes.accounts().is_none() || {
             let age = self.accounts.age();
@@ -224,20 +223,20 @@
         was_proved && self.target_feed().is_whole()
     }
 
-    /// Takes a proof that the configuration in force is the newest one; whether it could be used.
+    /// Records a proof that the configuration in force is the newest one. False when it is of no use here.
     pub fn note_proof(&self, proof: ConfigurationProof) -> bool {
         let in_force = self.configuration_version();
         self.accounts.age().note_proof(proof, in_force)
     }
 
-    /// The gateway to ask for a proof; `None` when this one has to ask the store.
-    pub fn proving_gateway(&self) -> Option<VmName> {
+    /// The gateway to ask for a configuration proof; `None` when this one has to ask the store.
+    pub fn proof_source(&self) -> Option<VmName> {
         let is_follower = self.watch.is_watching();
-        self.peers.proving_gateway(&self.config.node.vm, is_follower, Self::draw())
+        self.peers.proof_source(&self.config.node.vm, is_follower, Self::draw())
     }
 
-    /// Takes a configuration if it is newer; `source` is for the log. The version now in force, unless the
-    /// configuration can't be read.
+    /// Adopts a configuration if it is newer than the one in force; `source` is for the log. Returns the version then
+    /// in force, or `None` when `spec` is invalid.
     pub fn take_configuration(&self, spec: &RawValue, source: &str) -> Option<u64> {
         let mut current = self.configuration.write().unwrap_or_else(PoisonError::into_inner);
         match newer_configuration(current.as_ref(), spec) {
@@ -263,8 +262,8 @@
         }
     }
 
-    /// A target's answer `head` was read to its end: its connection is kept, unless the target
-    /// closes it.
+    /// Returns a connection to the pool after the answer with `head` was read to its end, unless the target closes
+    /// the connection.
     pub fn give_back(&self, target: &str, connection: TargetConnection, head: &ResponseHead) {
         if !head.keep_alive {
             self.targets().note_closing(target, self.clock.mono());
@@ -272,7 +271,7 @@
         self.pool.give_back(target, connection, head);
     }
 
-    /// Takes what the store tells of targets.
+    /// Applies an event of the store's target feed.
     pub fn take_target_event(&self, event: FeedEvent<'_>) {
         let now = self.clock.mono();
         let lapsed_until = self.store.outage().lapsed_until();
@@ -307,7 +306,7 @@
         self.apply_target_changes(changes, "store", revision);
     }
 
-    /// Brings changes into the table that choices are made from.
+    /// Applies changes to the table that targets are chosen from.
     pub fn apply_target_changes(&self, changes: Vec<TargetChange>, source: &str, revision: u64) {
         for change in changes {
             match change {
@@ -355,12 +354,12 @@
         self.targets().put(entry, self.clock.mono());
     }
 
-    /// Whether this gateway has to follow the store itself: too few before it do.
+    /// Whether this gateway has to watch the store itself, as too few of those ranked before it do.
     pub fn must_watch(&self) -> bool {
         self.peers.watchers_before(&self.config.node.vm) < STORE_WATCHERS
     }
 
-    /// Whether the gateway that `owner` names is there; an earlier incarnation of this one isn't.
+    /// Whether the owner `owner` is alive. An earlier incarnation of this gateway is not.
     pub fn liveness(&self, owner: &str, now: MonoTime) -> OwnerLiveness {
         if owner == self.owner {
             return OwnerLiveness::Alive;
@@ -370,19 +369,19 @@
         if is_own_vm { OwnerLiveness::Gone } else { self.peers.liveness(owner, now) }
     }
 
-    /// Entries that lapsed in an outage and didn't come back are gone.
-    pub fn apply_lapsed(&self, changes: Vec<TargetChange>, revision: u64) {
+    /// Removes targets whose entries expired in a store outage and were not renewed after it.
+    pub fn apply_expired(&self, changes: Vec<TargetChange>, revision: u64) {
         if !changes.is_empty() {
             self.apply_target_changes(changes, "lapsed", revision);
         }
     }
 
-    /// A random number from 0 to 1.
+    /// A random number in [0, 1).
     pub fn draw() -> f64 {
         rand::random()
     }
 
-    /// Notes an entry that can't be read: logged once for each change of it.
+    /// Records an invalid target entry; it is logged once for each revision.
     fn refuse_target(
         &self,
         feed: &mut TargetFeed,
@@ -390,8 +389,8 @@
         error: &DecodeError,
     ) -> Option<TargetChange> {
         let ObjectMetadata { name, revision } = &object.metadata;
-        let (is_news, change) = feed.refuse(name, *revision);
-        if is_news {
+        let (is_new_revision, change) = feed.refuse(name, *revision);
+        if is_new_revision {
             self.log.error(
                 "target_entry_refused",
                 &[("target", name), ("revision", revision), ("reason", error)],
--- a/crates/entry/src/online.rs
+++ b/crates/entry/src/online.rs
@@ -1,8 +1,8 @@
-//! Online requests: relayed to a target, an answer back.
+//! Online requests, which are relayed to a target while the client waits.
 
 pub mod crashes;
 pub mod lease;
-pub mod places;
 pub mod relay;
 pub mod request;
+pub mod slots;
 pub mod stream;
--- a/crates/entry/src/online/relay.rs
+++ b/crates/entry/src/online/relay.rs
@@ -1,4 +1,4 @@
-//! Relays one online request: attempts at targets until an answer is whole or none can come.
+//! Relays an online request: makes attempts at targets until an answer is complete or no more attempts are possible.
 
 use std::time::Duration;
 
@@ -20,33 +20,33 @@
 use crate::{
     constants::{
         ANSWER_BODY_BYTES, FIRST_BYTE_FREE_FACTOR, FIRST_BYTE_QUEUED_FACTOR, MAX_NOT_RUN_RETRIES,
-        MIN_RETRY_OBJECTIVES, NO_PLACE_RETRY_INTERVAL, NO_PLACE_TIMEOUT, RETRY_AFTER,
+        MIN_RETRY_OBJECTIVES, NO_SLOT_RETRY_INTERVAL, NO_SLOT_TIMEOUT, RETRY_AFTER,
     },
     node::EntryNode,
-    online::{crashes, lease::TargetLease, places, request::OnlineRequest},
+    online::{crashes, lease::TargetLease, request::OnlineRequest, slots},
     target::connection::TargetConnection,
 };
 
-/// What became of the client's connection.
+/// Whether the client's connection can be used further.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Delivery {
-    /// A whole answer was written; the connection may go on.
+    /// A complete answer was written; the connection can be reused.
     Answered,
-    /// The answer is cut short, or the client reads no more: the connection must be closed.
+    /// The answer is incomplete, or writing to the client failed; the connection must be closed.
     Cut,
 }
 
-/// How an attempt ended that is not a plain failure of the target.
+/// How an attempt ended if the target didn't fail.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AttemptEnd {
-    /// The answer is whole.
-    Whole(u16),
-    /// The client can't be written to any more.
+    /// The answer was relayed completely, with this status.
+    Complete(u16),
+    /// Writing to the client failed.
     ClientGone,
 }
 
-/// Ends when the target has started again since the start `id`: a run there is over, also where its
-/// connection stays silent.
+/// Waits until the target incarnation `id` has been replaced by a restart. A run there is lost then, even if its
+/// connection shows no failure.
 async fn until_restarted(node: &EntryNode, id: &str) {
     loop {
         let listener = node.target_restarts.listen();
@@ -57,53 +57,53 @@
     }
 }
 
-/// How long a request may wait for a place. One whose client has come back before may not come again;
-/// one whose client hasn't the time to come back is better served late than not.
+/// How long a request may wait for a slot. There is no limit for a retry or a resumed stream, as the client may not
+/// retry again, nor for a client without the time to retry, as a late answer is better than none.
 fn queue_limit(node: &EntryNode, request: &OnlineRequest) -> QueueLimit {
     let objective = request.route.objective;
-    let Some(patience) = request.patience else { return QueueLimit::Any };
-    let has_come_back = node.patience().has_come_back(&request.route.name, patience);
-    // Clients wait for a third of their time at most before they come back.
-    let can_come_back = patience >= objective * MIN_RETRY_OBJECTIVES;
-    if has_come_back || !can_come_back || request.last_event().is_some() {
+    let Some(deadline) = request.client_deadline else { return QueueLimit::Any };
+    let is_retry = node.patience().has_come_back(&request.route.name, deadline);
+    // Clients wait at most a third of their time before they retry.
+    let can_retry = deadline >= objective * MIN_RETRY_OBJECTIVES;
+    if is_retry || !can_retry || request.last_event().is_some() {
         return QueueLimit::Any;
     }
     QueueLimit::Within(objective)
 }
 
-/// Relays one request.
+/// The relay of one request, over all its attempts.
 pub struct RequestRelay<'a> {
     pub(crate) node: &'a EntryNode,
     pub(crate) request: &'a OnlineRequest,
     pub(crate) client: &'a TcpStream,
-    /// Whether our answer must tell that the connection closes after it.
+    /// Whether the answer must announce that the connection closes after it.
     pub(crate) close: bool,
-    /// The service, drawn once: a split must not change between attempts.
+    /// The service. With a traffic split it is drawn once, so that all attempts go to the same one.
     service: String,
-    /// Last event passed on, or that the client held before.
+    /// Id of the last event that the client has: the last one passed on, or the one that it resumes after.
     pub(crate) last_event: Option<u64>,
-    /// Whether the head of the answer was passed on.
+    /// Whether the response head was passed on.
     pub(crate) head_sent: bool,
-    /// When the first event or answer was passed on.
+    /// When the first event, or a non-streaming answer, was passed on.
     pub(crate) first_sent: Option<MonoTime>,
-    /// Sends that may have run. Invariant: never above the route's attempts.
+    /// Attempts that may have run. Invariant: at most the route's maximum.
     unknown: u32,
-    /// Sends that provably did not run.
+    /// Attempts that provably did not run.
     not_run: u32,
     /// Targets that failed this request.
     avoid: Vec<String>,
-    /// What failed, for the log.
+    /// Failed attempts, for the log.
     failures: Vec<String>,
-    /// How long it may wait for a place.
+    /// How long it may wait for a slot.
     queue: QueueLimit,
-    /// Gateways asked for a place at the last choice.
+    /// Number of gateways asked for a slot in the last search.
     place_asks: u32,
-    /// The target chosen last, with what was known of it: own and reported requests there.
+    /// The target chosen last, with its load as known then: own and reported requests.
     last_choice: Option<TargetChoice>,
 }
 
 impl<'a> RequestRelay<'a> {
-    /// A relay that hasn't begun.
+    /// Prepares a relay; [`run`](Self::run) performs it.
     pub fn new(
         node: &'a EntryNode,
         request: &'a OnlineRequest,
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Relays the request to its end.
+    /// Makes attempts until the request is answered or given up.
     pub async fn run(mut self) -> Delivery {
         if self.node.crashes().is_refused(self.request.fingerprint, self.now()) {
             return self.give_up("quarantined").await;
@@ -143,18 +143,18 @@
             }
             let Some(choice) = self.choose().await else {
                 let since = *searching_since.get_or_insert(now);
-                // Only an answer that has begun is worth a wait for a place: a new request is told
-                // at once when to come back.
-                if !self.head_sent || now.since(since) > NO_PLACE_TIMEOUT {
+                // Only an answer that has begun waits for a slot. A new request is refused at once, with a
+                // retry delay.
+                if !self.head_sent || now.since(since) > NO_SLOT_TIMEOUT {
                     return self.give_up("no_place").await;
                 }
-                task::sleep(NO_PLACE_RETRY_INTERVAL).await;
+                task::sleep(NO_SLOT_RETRY_INTERVAL).await;
                 continue;
             };
             searching_since = None;
             self.last_choice = Some(choice.clone());
             match self.attempt(&choice).await {
-                Ok(AttemptEnd::Whole(status)) => {
+                Ok(AttemptEnd::Complete(status)) => {
                     self.log_end("answered", status);
                     return Delivery::Answered;
                 }
@@ -172,7 +172,7 @@
         }
     }
 
-    /// The client closed its connection; the relay was dropped in the middle.
+    /// Logs and counts a request whose client closed its connection before the relay was done.
     pub fn log_client_gone(node: &EntryNode, request: &OnlineRequest) {
         let took = node.clock.mono().since(request.arrived).as_millis();
         let attempt = request.attempt().unwrap_or("-");
@@ -187,15 +187,15 @@
         self.node.clock.mono()
     }
 
-    /// Whether another attempt may follow one that may have run.
+    /// Whether, if the current attempt fails and may have run, another one is allowed.
     pub(crate) fn has_attempts(&self) -> bool {
         self.request.route.may_repeat() && self.unknown + 1 < self.request.route.max_attempts
     }
 
-    /// Chooses a target and counts the request there.
+    /// Chooses a target and counts the request there; `None` when no slot is available.
     async fn choose(&mut self) -> Option<TargetChoice> {
         let mut search = PlaceSearch::default();
-        let choice = places::find(self.node, &mut search, &self.query()).await;
+        let choice = slots::find(self.node, &mut search, &self.query()).await;
         self.place_asks = search.asks();
         choice
     }
@@ -225,24 +225,24 @@
             }
         };
         match end {
-            Ok(AttemptEnd::Whole(_)) => {
+            Ok(AttemptEnd::Complete(_)) => {
                 lease.set_outcome(Ok(()));
                 self.node.crashes().clear(self.request.fingerprint);
-                self.note_pace(choice, began);
+                self.note_latency(choice, began);
             }
             Ok(AttemptEnd::ClientGone) => {}
             Err(failure) => {
                 lease.set_outcome(Err(failure));
                 if failure.may_be_crash() && self.last_event == held_before {
-                    crashes::tell_break(self.node, self.request.fingerprint, &choice.id);
+                    crashes::report_interruption(self.node, self.request.fingerprint, &choice.id);
                 }
             }
         }
         end
     }
 
-    /// Learns from an answer that came whole from one target.
-    fn note_pace(&self, choice: &TargetChoice, began: MonoTime) {
+    /// Records the latency of an answer that came from one target completely.
+    fn note_latency(&self, choice: &TargetChoice, began: MonoTime) {
         let Some(first) = self.first_sent.filter(|first| *first >= began) else { return };
         let run = self.now().since(began);
         let first = choice.place_free.then(|| first.since(began));
@@ -250,8 +250,9 @@
     }
 
     async fn attempt_at(&mut self, choice: &TargetChoice) -> Result<AttemptEnd, AttemptFailure> {
-        let strict = !self.request.route.may_repeat();
-        let mut connection = self.node.pool.connect(&choice.id, choice.address, strict).await?;
+        let non_repeatable = !self.request.route.may_repeat();
+        let mut connection =
+            self.node.pool.connect(&choice.id, choice.address, non_repeatable).await?;
         let left = self.request.left(self.now());
         let terms = RelayTerms {
             target: &choice.name,
@@ -265,13 +266,12 @@
         self.node.targets().note_alive(&choice.id);
         let is_stream = self.request.route.kind == RouteKind::Streaming && head.status == 200;
         if is_stream {
-            return self.pass_stream(choice, connection, head).await;
+            return self.relay_stream(choice, connection, head).await;
         }
-        self.pass_plain(choice, connection, head).await
+        self.relay_buffered(choice, connection, head).await
     }
 
-    /// How long an answer may take to begin. Where the request can't go elsewhere, silence is no
-    /// reason to give up before its time is over.
+    /// Timeout of the first byte of an answer. A request that can't be tried elsewhere may wait until its deadline.
     fn first_byte_wait(&self, choice: &TargetChoice, left: Duration) -> Duration {
         if !self.has_attempts() {
             return left;
@@ -281,7 +281,7 @@
         self.request.route.objective.mul_f64(share).min(left)
     }
 
-    async fn pass_plain(
+    async fn relay_buffered(
         &mut self,
         choice: &TargetChoice,
         mut connection: TargetConnection,
@@ -306,7 +306,7 @@
         }
         self.first_sent = Some(self.now());
         match write_all(self.client, &writer.with_body(&body)).await {
-            Ok(()) => Ok(AttemptEnd::Whole(head.status)),
+            Ok(()) => Ok(AttemptEnd::Complete(head.status)),
             Err(_) => Ok(AttemptEnd::ClientGone),
         }
     }
@@ -331,7 +331,8 @@
         }
     }
 
-    /// The final answer of a request that no target answered, at once.
+    /// Ends a request that no target answered: with an error response, or by closing the connection if part of an
+    /// answer was passed on.
     async fn give_up(mut self, reason: &'static str) -> Delivery {
         if self.head_sent {
             self.log_end(reason, 0);
@@ -340,7 +341,7 @@
         let (status, retry_after) = if reason == "quarantined" {
             (503, None)
         } else if self.unknown == 0 {
-            (503, Some(self.come_back_after()))
+            (503, Some(self.retry_delay()))
         } else if reason == "deadline" {
             (504, None)
         } else {
@@ -359,9 +360,9 @@
         if written.is_ok() { Delivery::Answered } else { Delivery::Cut }
     }
 
-    /// When a client that was turned away should come back: when what runs now has ended, so that a
-    /// place is likely free; spread over as long again, so that they don't come back together.
-    fn come_back_after(&self) -> Duration {
+    /// Retry delay of a refused client: the typical run time, after which a slot is likely to be free, plus a random
+    /// part of up to as much, so that refused clients don't all retry at once.
+    fn retry_delay(&self) -> Duration {
         let run = self.node.targets().pace(&self.service).run().unwrap_or(RETRY_AFTER);
         run.mul_f64(1.0 + EntryNode::draw())
     }
@@ -396,7 +397,7 @@
                 ("place_asks", &self.place_asks),
                 ("granted", &choice.is_some_and(|c| c.is_granted)),
                 ("failures", &failures),
-                ("patience_ms", &self.request.patience.map_or(-1, |p| p.as_millis() as i64)),
+                ("patience_ms", &self.request.client_deadline.map_or(-1, |p| p.as_millis() as i64)),
                 ("last_event", &self.last_event.map_or(-1, |id| id as i64)),
                 ("first_ms", &first_ms),
                 ("ms", &now.since(arrived).as_millis()),
--- a/crates/entry/src/online/request.rs
+++ b/crates/entry/src/online/request.rs
@@ -1,4 +1,4 @@
-//! One online request as it was read.
+//! An online request as received from a client.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,37 +7,37 @@
 use notch_relay::prelude::*;
 use notch_types::prelude::*;
 
-/// For whom a request runs.
+/// The account on whose behalf a request runs.
 #[derive(Debug, Clone, Default)]
 pub struct RequestAccount {
-    /// The account that sends it; empty for nobody in particular, `None` where there are no accounts.
+    /// Name of the account that sent it; empty for an anonymous caller, `None` where there are no accounts.
     pub account: Option<String>,
-    /// The account whose credit it has.
+    /// The account whose credit it used; `None` when no credit was taken.
     pub credit: Option<AccountName>,
 }
 
-/// One online request as it was read.
+/// An online request as received from a client.
 #[derive(Debug)]
 pub struct OnlineRequest {
-    /// Its head.
+    /// Head as received.
     pub head: RequestHead,
-    /// Its body.
+    /// Complete body.
     pub body: Vec<u8>,
-    /// The route it takes, to its end.
+    /// Its route, which stays the same for all attempts even if the configuration changes.
     pub route: Arc<Route>,
-    /// For whom it runs.
+    /// The account on whose behalf it runs.
     pub account: RequestAccount,
     /// Version of the configuration that named the route.
     pub configuration: u64,
-    /// When its head was read.
+    /// When its head had been read.
     pub arrived: MonoTime,
-    /// What it says of its prompt.
+    /// Prompt prefixes that it announces, by which a target with a matching cache is preferred.
     pub prompt: PromptHeads,
-    /// Of its path and body: the same when the client sends it again.
+    /// Hash of its path and body; the same when the client retries it.
     pub fingerprint: u64,
-    /// How long the client waits, if it says.
-    pub patience: Option<Duration>,
-    /// When its answer must have ended: the client's patience or the route's timeout is over.
+    /// How long the client waits for the answer, if it says so.
+    pub client_deadline: Option<Duration>,
+    /// When its answer must be complete: the earlier of the client's deadline and the route's timeout.
     pub deadline: MonoTime,
 }
 
@@ -51,8 +51,8 @@
         arrived: MonoTime,
         account: RequestAccount,
     ) -> Self {
-        let patience = RequestTerms::decode(&head.headers).patience;
-        let limit = patience.map_or(route.timeout, |patience| patience.min(route.timeout));
+        let client_deadline = RequestTerms::decode(&head.headers).patience;
+        let limit = client_deadline.map_or(route.timeout, |deadline| deadline.min(route.timeout));
         let fingerprint = CrashTable::fingerprint(&head.target, &body);
         let prompt = prompt_heads(&head.headers);
         let deadline = arrived + limit;
@@ -65,22 +65,22 @@
             arrived,
             prompt,
             fingerprint,
-            patience,
+            client_deadline,
             deadline,
         }
     }
 
-    /// The client's id of this attempt.
+    /// The client's id for this attempt.
     pub fn attempt(&self) -> Option<&str> {
         RequestTerms::decode(&self.head.headers).attempt
     }
 
-    /// The last event that the client holds.
+    /// Id of the last event that the client already has, when it resumes a stream.
     pub fn last_event(&self) -> Option<u64> {
         RequestTerms::decode(&self.head.headers).last_event
     }
 
-    /// Time left at `now`.
+    /// Time from `now` to the deadline.
     pub fn left(&self, now: MonoTime) -> Duration {
         self.deadline.since(now)
     }
--- a/crates/entry/src/online/places.rs
+++ b/crates/entry/src/online/slots.rs
@@ -1,4 +1,4 @@
-//! Places at other gateways' targets, asked for before a request is sent there.
+//! Slots at targets whose home is another gateway. They are requested from it before a request is sent there.
 
 use std::time::Duration;
 
@@ -8,11 +8,10 @@
 
 use crate::{batch::runner, node::EntryNode, peers::calls::CallEnd};
 
-/// Longest wait for a home's answer: several round trips between failure domains, a tenth of the usual
-/// objective.
-const ANSWER_WAIT: Duration = Duration::from_millis(30);
+/// Timeout of a home gateway's answer: several round trips between failure domains, a tenth of the usual objective.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(30);
 
-/// Finds a place for a request, and counts it there; `None` when it can't be in time anywhere.
+/// Finds a slot for a request and counts the request there; `None` when no target can serve it in time.
 pub async fn find(
     node: &EntryNode,
     search: &mut PlaceSearch,
@@ -48,7 +47,7 @@
     let (service, avoid) = (query.service.to_owned(), query.avoid.to_vec());
     let question = |call| PeerMessage::PlaceAsk { call, service, avoid, may_displace };
     let send = |call| node.peers.send(home, question(call));
-    let end = node.peers.place_calls.ask(send, ANSWER_WAIT).await;
+    let end = node.peers.slot_calls.ask(send, ANSWER_TIMEOUT).await;
     let now = node.clock.mono();
     let code = match end {
         CallEnd::Answered(PlaceAnswer::Granted(id)) => {
@@ -57,7 +56,7 @@
                 node.metrics.count(Counter::Event("places_granted"));
                 return granted;
             }
-            give_back(node, home, id);
+            release(node, home, id);
             search.note_denied(&mut node.targets(), home, None, now);
             "places_unusable"
         }
@@ -74,7 +73,7 @@
     None
 }
 
-/// Answers another gateway that asks for a place.
+/// Answers another gateway's request for a slot.
 pub fn answer(
     node: &EntryNode,
     peer: &VmName,
@@ -100,7 +99,7 @@
     node.peers.send(peer, PeerMessage::PlaceAnswer { call, answer });
 }
 
-/// Has an item yield its place at a target of this gateway.
+/// Has a batch item give up its slot at a target whose home is this gateway.
 pub fn revoke(node: &EntryNode, target: &str, yields: &ItemYield) {
     node.metrics.count(Counter::Event("item_places_revoked"));
     match yields {
@@ -111,14 +110,14 @@
     }
 }
 
-/// Takes a home's answer. A place whose asker has given up is given back.
-pub fn take_answer(node: &EntryNode, home: &VmName, call: u64, answer: PlaceAnswer) {
-    if let Some(PlaceAnswer::Granted(target)) = node.peers.place_calls.try_answer(call, answer) {
-        give_back(node, home, target);
+/// Handles a home gateway's answer. A granted slot is released if its request no longer waits for it.
+pub fn handle_answer(node: &EntryNode, home: &VmName, call: u64, answer: PlaceAnswer) {
+    if let Some(PlaceAnswer::Granted(target)) = node.peers.slot_calls.try_answer(call, answer) {
+        release(node, home, target);
     }
 }
 
-fn give_back(node: &EntryNode, home: &VmName, target: String) {
+fn release(node: &EntryNode, home: &VmName, target: String) {
     let (work, change) = (WorkKind::Online, UseChange::End);
     node.peers.send(home, PeerMessage::PlaceUse { target, work, change });
 }
--- a/crates/entry/src/online/stream.rs
+++ b/crates/entry/src/online/stream.rs
@@ -1,4 +1,4 @@
-//! Passes a stream of events on, whole events only.
+//! Relays an event stream, complete events only.
 
 use std::time::Duration;
 
@@ -13,13 +13,13 @@
     target::connection::TargetConnection,
 };
 
-/// End of a body in chunks.
+/// Final chunk of a chunked body.
 const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
 impl RequestRelay<'_> {
-    /// Passes a target's stream on until it ends or breaks. Only whole events go to the client, so
-    /// that the stream can go on at another target.
-    pub(crate) async fn pass_stream(
+    /// Relays a target's stream until it ends or is interrupted. Only complete events are passed on to the client,
+    /// so that the stream can be resumed at another target.
+    pub(crate) async fn relay_stream(
         &mut self,
         choice: &TargetChoice,
         mut connection: TargetConnection,
@@ -48,12 +48,12 @@
         let mut bytes = self.head_bytes(&head);
         bytes.extend_from_slice(LAST_CHUNK);
         match write_all(self.client, &bytes).await {
-            Ok(()) => Ok(AttemptEnd::Whole(head.status)),
+            Ok(()) => Ok(AttemptEnd::Complete(head.status)),
             Err(_) => Ok(AttemptEnd::ClientGone),
         }
     }
 
-    /// Passes on the whole events that were read; false when the client can't be written to.
+    /// Passes on the complete events that were read; false when writing to the client fails.
     async fn pass_events(
         &mut self,
         splitter: &mut EventSplitter,
@@ -83,7 +83,8 @@
         }
     }
 
-    /// The head's bytes, the first time; a stream that goes on keeps its first target's head.
+    /// The response head for the client, on the first call; empty afterwards, as a resumed stream keeps the head of
+    /// its first target.
     fn head_bytes(&mut self, head: &ResponseHead) -> Vec<u8> {
         if self.head_sent {
             return Vec::new();
@@ -97,7 +98,7 @@
         writer.with_chunks()
     }
 
-    /// How long the next event may take.
+    /// Time to wait for the next event before the stream counts as stalled.
     fn event_wait(&self) -> Duration {
         let left = self.request.left(self.now());
         if !self.has_attempts() {
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -1,12 +1,12 @@
-//! The other gateways: who they are, links to them, and what is told on those.
+//! The other gateways: their registration, the links to them, and the messages on those links.
 
 pub mod calls;
 pub mod catch_up;
 pub mod demands;
-pub mod detours;
-pub mod hub;
+pub mod links;
 pub mod pushes;
 pub mod registration;
 pub mod reports;
+pub mod store_forwarding;
 pub mod table;
 pub mod traffic;
--- a/crates/entry/src/peers/catch_up.rs
+++ b/crates/entry/src/peers/catch_up.rs
@@ -1,26 +1,27 @@
-//! When to ask another gateway for newer configuration or targets, and who tells whom unasked.
+//! When to request a newer configuration or target list from another gateway, and which gateway pushes changes to
+//! which.
 
 use std::time::Duration;
 
 use notch_types::prelude::*;
 
-/// A change is pushed to each gateway by one that follows the store. Who has missed it for this long asks:
-/// several times what a push takes, and short beside the seconds in which a change must be in force.
-const PUSH_PATIENCE: Duration = Duration::from_millis(250);
-/// Longest wait for an answer before another gateway is asked.
-const ANSWER_PATIENCE: Duration = Duration::from_millis(300);
-/// Two gateways whose digests differ this long at the same revision have missed a change for good: what the
-/// store lets lapse in an outage comes back or is removed sooner.
-const DIGEST_PATIENCE: Duration = Duration::from_millis(5_000);
+/// How long a gateway waits for a change to be pushed to it before it requests the change: several times what a push
+/// takes, and short compared to the seconds within which a change must be in force.
+const PUSH_TIMEOUT: Duration = Duration::from_millis(250);
+/// Time without an answer after which another gateway is asked.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
+/// Two gateways whose digests differ at the same revision for this long have permanently missed a change. Entries that
+/// expired in a store outage also make digests differ, but are renewed or removed sooner.
+const DIGEST_MISMATCH_TIMEOUT: Duration = Duration::from_millis(5_000);
 
-/// Versions of what a gateway knows from the store.
+/// Versions of the store's state that a gateway knows.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct KnownVersions {
-    /// Of the configuration; 0 for none.
+    /// Version of the configuration; 0 for none.
     pub configuration: u64,
-    /// Revision of targets; 0 before a whole list.
+    /// Revision of the targets; 0 until a whole list is known.
     pub targets: u64,
-    /// Digest over the targets.
+    /// Digest of the target list.
     pub digest: u64,
 }
 
@@ -29,37 +30,37 @@
         other.configuration > self.configuration || other.targets > self.targets
     }
 
-    fn has_nothing(self) -> bool {
+    fn is_incomplete(self) -> bool {
         self.configuration == 0 || self.targets == 0
     }
 }
 
-/// What to ask another gateway for.
+/// What to request from another gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StateRequest {
-    /// What changed since the versions known here.
+    /// The changes since the versions known here.
     Changes,
     /// The whole list of targets.
     WholeList,
 }
 
-/// Decides when to ask another gateway for newer state, one question at a time.
+/// Decides when to request newer state from another gateway, one request at a time.
 ///
-/// Load pattern: a change reaches hundreds of gateways, which all hear from all others that they are behind.
+/// The worst case is a change for hundreds of gateways, each of which learns from all others that it is behind.
 #[derive(Debug, Default)]
 pub struct CatchUp {
     /// What was known here when `behind_since` was set.
     known: KnownVersions,
-    /// Since when another gateway has known more than `known`.
+    /// Since when some gateway is known to have newer state than `known`.
     behind_since: Option<MonoTime>,
-    /// When a question was asked that isn't answered yet.
+    /// When the pending request was sent, or the last part of its answer came.
     asked_at: Option<MonoTime>,
-    /// Since when the digests heard at the same revision differ. Reset by one that is the same.
+    /// Since when digests reported at the same revision differ. Reset by an equal one.
     differs_since: Option<MonoTime>,
 }
 
 impl CatchUp {
-    /// Another gateway told its versions; what to ask it for now.
+    /// Handles another gateway's report of its versions; returns what to request from it now.
     pub fn note_report(
         &mut self,
         own: KnownVersions,
@@ -69,20 +70,20 @@
         if self.known != own {
             *self = Self { known: own, asked_at: self.asked_at, ..Self::default() };
         }
-        let question = self.question(own, theirs, now)?;
-        if self.asked_at.is_some_and(|asked| now.since(asked) < ANSWER_PATIENCE) {
+        let request = self.due_request(own, theirs, now)?;
+        if self.asked_at.is_some_and(|asked| now.since(asked) < ANSWER_TIMEOUT) {
             return None;
         }
         self.asked_at = Some(now);
-        Some(question)
+        Some(request)
     }
 
-    /// A part of an answer came.
+    /// Records that a part of an answer came.
     pub fn note_part(&mut self, is_last: bool, now: MonoTime) {
         self.asked_at = self.asked_at.filter(|_| !is_last).map(|_| now);
     }
 
-    fn question(
+    fn due_request(
         &mut self,
         own: KnownVersions,
         theirs: KnownVersions,
@@ -90,10 +91,10 @@
     ) -> Option<StateRequest> {
         if own.is_behind(theirs) {
             let since = *self.behind_since.get_or_insert(now);
-            let is_due = own.has_nothing() || now.since(since) >= PUSH_PATIENCE;
+            let is_due = own.is_incomplete() || now.since(since) >= PUSH_TIMEOUT;
             return is_due.then_some(StateRequest::Changes);
         }
-        if own.targets != theirs.targets || own.has_nothing() {
+        if own.targets != theirs.targets || own.is_incomplete() {
             return None;
         }
         if own.digest == theirs.digest {
@@ -101,7 +102,7 @@
             return None;
         }
         let since = *self.differs_since.get_or_insert(now);
-        if now.since(since) < DIGEST_PATIENCE {
+        if now.since(since) < DIGEST_MISMATCH_TIMEOUT {
             return None;
         }
         self.differs_since = Some(now);
@@ -109,8 +110,8 @@
     }
 }
 
-/// Whether the gateway `own`, which follows the store, is the one among `followers` that pushes changes to
-/// `receiver`. All gateways compute the same, so each change comes to each gateway once.
+/// Whether `own`, which follows the store, is the follower that pushes changes to `receiver`. All gateways compute the
+/// same (rendezvous hashing), so that each change is pushed to each gateway once.
 pub fn is_pusher(own: &VmName, followers: &[VmName], receiver: &VmName) -> bool {
     let rank = |vm: &VmName| {
         stable_hash64(&[b"push", vm.as_str().as_bytes(), receiver.as_str().as_bytes()])
--- a/crates/entry/src/peers/demands.rs
+++ b/crates/entry/src/peers/demands.rs
@@ -1,4 +1,4 @@
-//! Tells the other gateways what work waits here, and keeps count of the places that it finds.
+//! Announces the work that waits here to the other gateways, and tracks the slots available for it.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,20 +13,20 @@
     node::EntryNode,
 };
 
-/// Parts in which a service's demand is told, at most.
-const TOLD_PARTS: usize = 16;
-/// Divisor of what was told last, for a change that is told without a new job.
+/// Maximum number of parts that a service's demand is announced in.
+const MAX_ANNOUNCED_PARTS: usize = 16;
+/// Divisor of the last announced total: a change by more than a sixteenth of it is announced even without a new job.
 const CHANGE_DIVISOR: u32 = 16;
 
-/// What was told last.
+/// The last announcement.
 #[derive(Debug, Default)]
-struct LastTold {
+struct LastAnnouncement {
     total: Duration,
     at: MonoTime,
 }
 
-impl LastTold {
-    /// Whether the others should be told of `total`. Nothing is told while nothing waits.
+impl LastAnnouncement {
+    /// Whether `total` should be announced now. While nothing waits, unchanged demand isn't repeated.
     fn is_due(&self, total: Duration, has_new_job: bool, now: MonoTime) -> bool {
         let is_more = has_new_job && total > self.total;
         let is_changed = total.abs_diff(self.total) > self.total / CHANGE_DIVISOR;
@@ -35,28 +35,29 @@
     }
 }
 
-/// Tells the others when something changed, and now and then while work waits.
-pub async fn tell_demands(node: Arc<EntryNode>) {
-    let mut last = LastTold::default();
+/// Announces demand when it changes, and at intervals while work waits. Runs until the process ends.
+pub async fn broadcast_demands(node: Arc<EntryNode>) {
+    let mut last = LastAnnouncement::default();
     let mut has_new_job = false;
     loop {
-        // Listened for from before the look, so that no job is taken in unheard.
+        // Registered before the demand is read, so that no job is missed.
         let listener = node.jobs_taken.listen();
         let now = node.clock.mono();
-        note_places(&node, now);
+        update_slots(&node, now);
         let demands = room::own_demands(&node, now);
         let total = demands.values().map(WorkDemand::total).sum();
         if last.is_due(total, has_new_job, now) {
             node.peers.broadcast(&message(&node, &demands, now));
-            last = LastTold { total, at: now };
+            last = LastAnnouncement { total, at: now };
         }
-        // Jobs that come together are told together.
+        // Announces jobs that arrive together in one message.
         task::sleep(DEMAND_PAUSE).await;
         has_new_job = timeout(DEMAND_EVERY, listener).await.is_ok();
     }
 }
 
-/// What work waits here now, for a gateway that has just come: one that knows of none would take any job in.
+/// The announcement for a gateway whose link has just been established. A gateway that knows of no demand would accept
+/// any job.
 pub fn demand(node: &EntryNode) -> PeerMessage {
     let now = node.clock.mono();
     message(node, &room::own_demands(node, now), now)
@@ -65,29 +66,33 @@
 fn message(node: &EntryNode, demands: &FastMap<String, WorkDemand>, now: MonoTime) -> PeerMessage {
     let report = |(service, demand): (&String, &WorkDemand)| ServiceDemandReport {
         service: service.clone(),
-        works: demand.merged(TOLD_PARTS).into_iter().map(|work| told_work(work, now)).collect(),
+        works: demand
+            .merged(MAX_ANNOUNCED_PARTS)
+            .into_iter()
+            .map(|work| work_report(work, now))
+            .collect(),
     };
     let demands = demands.iter().map(report).collect();
     let pace = node.jobs().board.own_pace().figures();
     PeerMessage::Demand { demands, pace }
 }
 
-fn told_work(work: DueWork, now: MonoTime) -> DueWorkReport {
+fn work_report(work: DueWork, now: MonoTime) -> DueWorkReport {
     let due_in_ms = work.due.since(now).as_millis() as u64;
     DueWorkReport { due_in_ms, work_ms: work.work.as_millis() as u64 }
 }
 
-/// Takes what another gateway tells. Due times are told as the time left: clocks of two VMs differ.
-pub fn take_demand(
+/// Applies another gateway's announcement. Due times are sent as the time left, as the clocks of two VMs differ.
+pub fn apply_demand(
     node: &EntryNode,
     peer: &VmName,
     demands: Vec<ServiceDemandReport>,
     pace: PaceFigures,
 ) {
     let now = node.clock.mono();
-    let work = |told: DueWorkReport| DueWork {
-        due: now + Duration::from_millis(told.due_in_ms),
-        work: Duration::from_millis(told.work_ms),
+    let work = |received: DueWorkReport| DueWork {
+        due: now + Duration::from_millis(received.due_in_ms),
+        work: Duration::from_millis(received.work_ms),
     };
     let demands = demands.into_iter().map(|report| {
         let works = report.works.into_iter().map(work).collect();
@@ -96,7 +101,7 @@
     node.intake().take_demand(peer, demands.collect(), pace, now);
 }
 
-fn note_places(node: &EntryNode, now: MonoTime) {
+fn update_slots(node: &EntryNode, now: MonoTime) {
     let places = node.targets().item_places(now);
     let mut desk = node.jobs();
     let mut intake = node.intake();
--- a/crates/entry/src/peers/hub.rs
+++ b/crates/entry/src/peers/links.rs
@@ -1,4 +1,4 @@
-//! Links to the other gateways, and what comes on them.
+//! Links to the other gateways, and the handling of their events and messages.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,18 +15,18 @@
 use crate::{
     accounts::{
         credit,
-        freshness::{self, ToldAge},
+        freshness::{self, ProofAge},
     },
     batch::{bodies, ends, limits, ownership, reads, runner},
     constants::{GATEWAY_WATCH_PAUSE, STORE_PAUSE},
     node::EntryNode,
-    online::{crashes, places},
+    online::{crashes, slots},
     peers::{
         catch_up::{KnownVersions, StateRequest},
-        demands, detours, pushes,
+        demands, pushes,
         registration::{GATEWAY_KIND, GatewayEntry},
-        reports,
-        table::{JobNews, KeptShare, PeerSilence},
+        reports, store_forwarding,
+        table::{JobReadReply, KeptShare, PeerSilence},
     },
     store::{
         call_cause::StoreCallCause,
@@ -36,13 +36,13 @@
     },
 };
 
-/// Receives what links tell.
+/// The handler of link events.
 pub fn link_sink(node: &Arc<EntryNode>) -> LinkSink {
     let node = Arc::clone(node);
-    Arc::new(move |event| take_event(&node, event))
+    Arc::new(move |event| handle_link_event(&node, event))
 }
 
-/// Registers this gateway, then follows the others' entries and keeps links to them.
+/// Registers this gateway, then follows the others' entries and maintains links to them.
 pub async fn follow_gateways(node: Arc<EntryNode>, settings: LinkSettings) {
     register(&node).await;
     let sink = link_sink(&node);
@@ -51,10 +51,10 @@
     follow(&node.store, GATEWAY_KIND, feed, |event| match event {
         FeedEvent::Snapshot { objects, .. } => {
             for object in &objects {
-                put_gateway(&node, object, &settings, &sink);
+                add_gateway(&node, object, &settings, &sink);
             }
         }
-        FeedEvent::Changed { object } => put_gateway(&node, object, &settings, &sink),
+        FeedEvent::Changed { object } => add_gateway(&node, object, &settings, &sink),
         FeedEvent::Deleted { object, .. } => {
             node.peers.remove_entry(&VmName::new(&object.metadata.name));
             ownership::doubt_all(&node, "entry_gone", PeerSilence::Minority);
@@ -63,6 +63,7 @@
     .await;
 }
 
+/// Writes this gateway's entry to the store; retries until that succeeds.
 async fn register(node: &EntryNode) {
     let entry = GatewayEntry {
         address: node.config.listen.links,
@@ -96,7 +97,7 @@
     }
 }
 
-fn put_gateway(node: &EntryNode, object: &StoreObject, settings: &LinkSettings, sink: &LinkSink) {
+fn add_gateway(node: &EntryNode, object: &StoreObject, settings: &LinkSettings, sink: &LinkSink) {
     let vm = VmName::new(&object.metadata.name);
     if vm == node.config.node.vm {
         return;
@@ -109,7 +110,7 @@
             return;
         }
     };
-    // One of the two dials, so that one link stands between them.
+    // Only the gateway with the smaller name dials, so that there is one link between two gateways.
     let dials = node.config.node.vm < vm;
     let name = vm.clone();
     let dial =
@@ -117,7 +118,7 @@
     node.peers.put_entry(&vm, entry, node.clock.mono(), dial);
 }
 
-fn take_event(node: &Arc<EntryNode>, event: LinkEvent) {
+fn handle_link_event(node: &Arc<EntryNode>, event: LinkEvent) {
     match event {
         LinkEvent::Up { peer, link } => {
             node.log.info("gateway_link_up", &[("gateway", &peer.vm)]);
@@ -145,7 +146,7 @@
         LinkEvent::Message { peer, message: LinkMessage::Peer(message), bytes, .. } => {
             node.peers.traffic.note_received(message.kind(), bytes);
             note_heard(node, &peer);
-            take_message(node, &peer, message);
+            handle_message(node, &peer, message);
         }
         LinkEvent::Message { peer, .. } => {
             node.log.warn("message_of_another_kind", &[("gateway", &peer.vm)]);
@@ -153,29 +154,30 @@
     }
 }
 
-/// Something came from a gateway. What was sent to us while we stood still, or while its way took long, is
-/// read before what tells that our jobs were taken over: after a silence the store has to be asked.
+/// Records that something came from a gateway. After a pause of this process or a slow link, older messages are read
+/// before those that announce that jobs were taken over. So after any silence, ownership of the jobs has to be checked
+/// in the store.
 fn note_heard(node: &Arc<EntryNode>, peer: &LinkPeer) {
     if let Some(silence) = node.peers.note_heard(&peer.vm, node.clock.mono()) {
         ownership::doubt_all(node, "silence", silence);
     }
 }
 
-fn take_message(node: &Arc<EntryNode>, peer: &LinkPeer, message: PeerMessage) {
+fn handle_message(node: &Arc<EntryNode>, peer: &LinkPeer, message: PeerMessage) {
     match message {
         PeerMessage::Hello { owner, jobs, up_ms } => {
             let up = Duration::from_millis(up_ms);
-            node.peers.set_up(&peer.vm, up, node.clock.mono());
+            node.peers.set_uptime(&peer.vm, up, node.clock.mono());
             node.peers.set_owner(&peer.vm, &owner, node.clock.mono());
-            take_owned(node, &owner, &jobs);
+            apply_ownership(node, &owner, &jobs);
         }
         PeerMessage::Report { uses, configuration, targets, digest, is_watching } => {
             node.peers.set_watching(&peer.vm, is_watching);
-            reports::take_uses(node, &peer.vm, uses, node.clock.mono());
+            reports::apply_uses(node, &peer.vm, uses, node.clock.mono());
             catch_up_with(node, &peer.vm, KnownVersions { configuration, targets, digest });
         }
         PeerMessage::Demand { demands, pace } => {
-            demands::take_demand(node, &peer.vm, demands, pace);
+            demands::apply_demand(node, &peer.vm, demands, pace);
         }
         PeerMessage::AskState { configuration, targets } => {
             let versions = KnownVersions { configuration, targets, digest: 0 };
@@ -184,11 +186,11 @@
             }
         }
         PeerMessage::State { configuration, targets } => {
-            take_state(node, peer, configuration, targets);
+            apply_state(node, peer, configuration, targets);
         }
         PeerMessage::JobsOwned(jobs) => {
             if let Some(owner) = node.peers.owner_of(&peer.vm) {
-                take_owned(node, &owner, &jobs);
+                apply_ownership(node, &owner, &jobs);
             }
         }
         PeerMessage::JobStoring(job) => {
@@ -201,13 +203,13 @@
         PeerMessage::JobAsk { call, job, account, after, wait_ms } => {
             let node = Arc::clone(node);
             let vm = peer.vm.clone();
-            let question = reads::PeerRead { job, account, after, wait_ms };
-            task::spawn(async move { reads::answer_peer(&node, &vm, call, &question).await });
+            let read = reads::PeerRead { job, account, after, wait_ms };
+            task::spawn(async move { reads::answer_peer(&node, &vm, call, &read).await });
         }
         PeerMessage::JobNews { call, account, is_sure, total, lines, is_all } => {
             let total = usize::try_from(total).unwrap_or(usize::MAX);
-            let news = JobNews { account, is_sure, total, lines, is_all };
-            node.peers.job_calls.answer(call, news);
+            let reply = JobReadReply { account, is_sure, total, lines, is_all };
+            node.peers.job_calls.answer(call, reply);
         }
         PeerMessage::BodyAsk { call, job, item, account } => {
             bodies::answer_peer(node, &peer.vm, call, (&job, &item), &account);
@@ -217,7 +219,7 @@
         }
         PeerMessage::JobProgress { job, items } => node.jobs().keep_progress(&job, items),
         PeerMessage::RequestBroke { fingerprint, target } => {
-            crashes::count_break(node, fingerprint, &target);
+            crashes::count_interruption(node, fingerprint, &target);
         }
         PeerMessage::RequestRefused { fingerprint } => {
             node.crashes().refuse(fingerprint, node.clock.mono());
@@ -225,7 +227,7 @@
         PeerMessage::StoreCall { .. } => {
             let node = Arc::clone(node);
             let vm = peer.vm.clone();
-            task::spawn(async move { detours::call_for(&node, &vm, message).await });
+            task::spawn(async move { store_forwarding::serve_call(&node, &vm, message).await });
         }
         PeerMessage::ShareAsk { call, limit } => limits::answer_ask(node, &peer.vm, call, &limit),
         PeerMessage::ShareKept { call, holder, kept, ended_per_second } => {
@@ -236,11 +238,11 @@
         }
         PeerMessage::StoreAnswer { call, end } => node.peers.store_calls.answer(call, end),
         PeerMessage::PlaceAsk { call, service, avoid, may_displace } => {
-            places::answer(node, &peer.vm, call, &service, &avoid, may_displace);
+            slots::answer(node, &peer.vm, call, &service, &avoid, may_displace);
         }
         PeerMessage::PlaceRevoke { target } => runner::yield_place(node, &target),
         PeerMessage::PlaceAnswer { call, answer } => {
-            places::take_answer(node, &peer.vm, call, answer);
+            slots::handle_answer(node, &peer.vm, call, answer);
         }
         PeerMessage::PlaceUse { target, work, change } => {
             let now = node.clock.mono();
@@ -249,7 +251,7 @@
         PeerMessage::AgeAsk { call } => freshness::answer(node, &peer.vm, call),
         PeerMessage::Age { call, version, age_ms } => {
             let age = age_ms.map(Duration::from_millis);
-            node.peers.age_calls.answer(call, ToldAge { version, age });
+            node.peers.age_calls.answer(call, ProofAge { version, age });
         }
         PeerMessage::CreditAsk { call, account, wanted } => {
             credit::answer(node, &peer.vm, call, &account, wanted);
@@ -271,18 +273,18 @@
     }
 }
 
-/// Asks a gateway that knows more, when it is time to.
+/// Requests newer state from a gateway that has it, once that is due.
 pub fn catch_up_with(node: &EntryNode, peer: &VmName, theirs: KnownVersions) {
     let own = node.known_versions();
-    let question = node.peers.catch_up().note_report(own, theirs, node.clock.mono());
-    let Some(question) = question else { return };
-    ask_state(node, peer, question);
+    let request = node.peers.catch_up().note_report(own, theirs, node.clock.mono());
+    let Some(request) = request else { return };
+    request_state(node, peer, request);
 }
 
-/// Asks a gateway for newer state.
-fn ask_state(node: &EntryNode, peer: &VmName, question: StateRequest) {
+/// Requests state from a gateway.
+fn request_state(node: &EntryNode, peer: &VmName, request: StateRequest) {
     let own = node.known_versions();
-    let targets = match question {
+    let targets = match request {
         StateRequest::Changes => own.targets,
         StateRequest::WholeList => 0,
     };
@@ -295,7 +297,7 @@
     node.peers.send(peer, PeerMessage::AskState { configuration, targets });
 }
 
-fn take_state(
+fn apply_state(
     node: &EntryNode,
     peer: &LinkPeer,
     configuration: Option<Payload>,
@@ -303,7 +305,7 @@
 ) {
     if let Some(text) = configuration {
         match serde_json::from_slice::<Box<RawValue>>(&text) {
-            // A refusal is logged where it's found.
+            // `take_configuration` logs an invalid configuration itself.
             Ok(spec) => drop(node.take_configuration(&spec, peer.vm.as_str())),
             Err(error) => {
                 let source = peer.vm.as_str();
@@ -323,9 +325,9 @@
     }
 }
 
-/// Another gateway says that it owns these jobs. Where we think the same, the store tells who is
-/// right: were the other simply believed, two that meet after a cut could each yield to the other.
-fn take_owned(node: &Arc<EntryNode>, owner: &str, jobs: &[String]) {
+/// Handles another gateway's claim that it owns these jobs. If this gateway owns one as well, the store decides. Two
+/// gateways that simply believed each other after a network partition could both give the job up.
+fn apply_ownership(node: &Arc<EntryNode>, owner: &str, jobs: &[String]) {
     for job in jobs {
         let is_owned = node.jobs().is_owned(job);
         if is_owned {
@@ -333,12 +335,12 @@
         } else {
             let mut desk = node.jobs();
             if desk.is_busy(job) {
-                // It is being taken over here: whichever of the two came first, the store tells.
+                // This gateway is taking the job over; the store decides which of the two came first.
                 desk.board.doubt_all();
             }
             desk.note_owner(std::slice::from_ref(job), owner);
         }
     }
-    // Readers that waited for an owner ask it now.
+    // Readers that wait for an owner to be known can ask it now.
     node.job_updates.notify(usize::MAX);
 }
--- a/crates/entry/src/peers/pushes.rs
+++ b/crates/entry/src/peers/pushes.rs
@@ -1,4 +1,4 @@
-//! Pushes changes of configuration and targets to the other gateways as they come from the store.
+//! Pushes changes of the configuration and targets to the other gateways as they come from the store.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,43 +11,44 @@
     peers::catch_up::{KnownVersions, is_pusher},
 };
 
-/// Changes that come together are pushed together: short beside the seconds in which a change must be in force.
+/// Pause in which changes are collected into one push; short compared to the seconds within which a change must be in
+/// force.
 const PUSH_PAUSE: Duration = Duration::from_millis(20);
-/// How often it is looked for versions that rose without a change.
+/// Interval at which versions are compared even without a change notification.
 const PUSH_TICK: Duration = Duration::from_millis(200);
 
-/// Pushes changes until the process ends, while this gateway follows the store.
+/// Pushes changes while this gateway follows the store. Runs until the process ends.
 pub async fn push_changes(node: Arc<EntryNode>) {
-    let mut told = node.known_versions();
+    let mut previous = node.known_versions();
     loop {
         let listener = node.state_changed.listen();
         let known = node.known_versions();
-        if known != told {
+        if known != previous {
             if node.watch.is_watching() {
-                push(&node, told);
+                push(&node, previous);
             }
-            told = known;
+            previous = known;
         }
         let _ = timeout(PUSH_TICK, listener).await;
         task::sleep(PUSH_PAUSE).await;
     }
 }
 
-/// Pushes what changed since `told` to the gateways that are this one's to push to.
-fn push(node: &EntryNode, told: KnownVersions) {
+/// Pushes the changes since `previous` to the gateways that this one is the pusher of.
+fn push(node: &EntryNode, previous: KnownVersions) {
     let own = &node.config.node.vm;
     let followers = node.peers.follower_vms();
     let receivers: Vec<VmName> = node.peers.linked_vms();
     let receivers = receivers.iter().filter(|vm| is_pusher(own, &followers, vm));
     let receivers: Vec<&VmName> = receivers.collect();
-    let messages = newer_state(node, told);
-    // More than one is too much for a push: who needs it asks.
+    let messages = newer_state(node, previous);
+    // State that takes more than one message isn't pushed; gateways that need it request it.
     if let [message] = messages.as_slice() {
         node.peers.send_to_all(&receivers, message);
     }
 }
 
-/// What a gateway has to be told that knows `versions`, a message for each part.
+/// The state that a gateway lacks which knows `versions`, as one message for each part.
 pub fn newer_state(node: &EntryNode, versions: KnownVersions) -> Vec<PeerMessage> {
     let text = node.configuration_text();
     let text = text.filter(|(version, _)| *version > versions.configuration);
--- a/crates/entry/src/peers/reports.rs
+++ b/crates/entry/src/peers/reports.rs
@@ -1,4 +1,4 @@
-//! Reports of this gateway's use of targets to the others.
+//! Reports between gateways: their use of targets, and the versions of the state that they know.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
     peers::catch_up::KnownVersions,
 };
 
-/// What this gateway uses and knows now.
+/// The current report of this gateway.
 pub fn report(node: &EntryNode) -> PeerMessage {
     let report = |(id, own): (&str, TargetUse)| TargetUseReport {
         target: id.to_owned(),
@@ -27,9 +27,9 @@
     PeerMessage::Report { uses, configuration, targets, digest, is_watching }
 }
 
-/// Whether the others have to hear of `new` at once. Versions alone are no reason: changes are pushed, and
-/// each would be told by every gateway to every other.
-fn is_news(last: &PeerMessage, new: &PeerMessage) -> bool {
+/// Whether `new` has to be sent at once. A change of versions alone doesn't count: changes are pushed, and reporting
+/// each would take a message from every gateway to every other.
+fn is_urgent(last: &PeerMessage, new: &PeerMessage) -> bool {
     match (last, new) {
         (
             PeerMessage::Report { uses, is_watching, .. },
@@ -39,16 +39,16 @@
     }
 }
 
-/// Tells the others when something changed, and now and then when nothing did.
-pub async fn tell_uses(node: Arc<EntryNode>) {
+/// Broadcasts reports when they change, and at longer intervals when they don't. Runs until the process ends.
+pub async fn broadcast_uses(node: Arc<EntryNode>) {
     let mut last: Option<PeerMessage> = None;
     let mut last_at = MonoTime::default();
     loop {
         task::sleep(REPORT_EVERY).await;
         let now = node.clock.mono();
         let message = report(&node);
-        let is_news = last.as_ref().is_none_or(|last| is_news(last, &message));
-        if !is_news && now.since(last_at) < REPORT_IDLE {
+        let is_urgent = last.as_ref().is_none_or(|last| is_urgent(last, &message));
+        if !is_urgent && now.since(last_at) < REPORT_IDLE {
             continue;
         }
         node.peers.broadcast(&message);
@@ -57,8 +57,8 @@
     }
 }
 
-/// Takes another gateway's use of targets.
-pub fn take_uses(node: &EntryNode, peer: &VmName, uses: Vec<TargetUseReport>, now: MonoTime) {
+/// Applies another gateway's use of targets.
+pub fn apply_uses(node: &EntryNode, peer: &VmName, uses: Vec<TargetUseReport>, now: MonoTime) {
     let uses = uses.into_iter().map(|report| {
         let TargetUseReport { target, online, batch } = report;
         (target, TargetUse { online, batch })
--- a/crates/entry/src/peers/detours.rs
+++ b/crates/entry/src/peers/store_forwarding.rs
@@ -1,4 +1,4 @@
-//! Calls to the store that one gateway makes for another.
+//! Store calls that one gateway makes on behalf of another that can't reach the store.
 
 use std::{sync::Arc, time::Duration};
 
@@ -18,21 +18,21 @@
     },
 };
 
-/// Passes calls on to gateways that follow the store, until the process ends.
-pub async fn pass_calls(node: Arc<EntryNode>, calls: Receiver<DetourCall>) {
+/// Forwards this gateway's calls to gateways that follow the store, until the process ends.
+pub async fn forward_calls(node: Arc<EntryNode>, calls: Receiver<DetourCall>) {
     while let Ok(call) = calls.recv().await {
         let node = Arc::clone(&node);
-        task::spawn(async move { pass_call(&node, call).await });
+        task::spawn(async move { forward_call(&node, call).await });
     }
 }
 
-async fn pass_call(node: &EntryNode, call: DetourCall) {
+async fn forward_call(node: &EntryNode, call: DetourCall) {
     let DetourCall { method, path, body, wait, end } = call;
     let outcome = match node.peers.follower(EntryNode::draw()) {
         Some(vm) => ask(node, &vm, (method, path, body), wait).await,
         None => None,
     };
-    // The caller may have been dropped meanwhile.
+    // Fails only if the caller no longer waits.
     let _ = end.try_send(outcome);
 }
 
@@ -54,7 +54,7 @@
             Ok(StoreReply { status, body: body.to_vec() })
         }
         CallEnd::Answered(StoreCallEnd::NotDone) => Err(StoreFailure::NotDone),
-        // The link may have broken after the call was made.
+        // The link may have failed after the call was made.
         CallEnd::Answered(StoreCallEnd::Unknown) | CallEnd::Unanswered => {
             Err(StoreFailure::Unknown)
         }
@@ -72,8 +72,8 @@
     Some(end)
 }
 
-/// Makes a call for another gateway.
-pub async fn call_for(node: &EntryNode, vm: &VmName, message: PeerMessage) {
+/// Makes a store call on behalf of another gateway.
+pub async fn serve_call(node: &EntryNode, vm: &VmName, message: PeerMessage) {
     let PeerMessage::StoreCall { call, method, path, body, wait_ms } = message else { return };
     let wait = Duration::from_millis(wait_ms);
     let result = node
--- a/crates/entry/src/peers/table.rs
+++ b/crates/entry/src/peers/table.rs
@@ -1,4 +1,4 @@
-//! What is known of the other gateways.
+//! The table of the other gateways: their entries, links and liveness.
 
 mod census;
 
@@ -14,7 +14,7 @@
 use notch_types::prelude::*;
 
 use crate::{
-    accounts::freshness::ToldAge,
+    accounts::freshness::ProofAge,
     constants::{ENTRIES_FRESH, FIRST_LINK_TIMEOUT, PEER_DEAD_AFTER, PEER_SILENT_AFTER},
     peers::{
         calls::CallTable, catch_up::CatchUp, registration::GatewayEntry, traffic::PeerTraffic,
@@ -22,38 +22,38 @@
     store::feed_clock::FeedClock,
 };
 
-/// A peer's answer to a question about a job.
+/// A peer's answer to a read of a job.
 #[derive(Debug)]
-pub struct JobNews {
-    /// Whether the peer is sure that the list has nothing beyond what it knows.
+pub struct JobReadReply {
+    /// Whether the peer is certain that there are no results beyond those that it knows.
     pub is_sure: bool,
-    /// The account that sent the job; empty for none.
+    /// The account that submitted the job; empty for none.
     pub account: String,
-    /// Items of the job; 0 when the peer knows nothing of it, or may not tell.
+    /// Number of items of the job; 0 when the peer doesn't know the job or the account has no access to it.
     pub total: usize,
-    /// Results from the position asked for on.
+    /// Results from the requested position on.
     pub lines: Vec<notch_relay::prelude::ResultLine>,
-    /// Whether these are all that the peer knows.
+    /// Whether these are all results that the peer knows.
     pub is_all: bool,
 }
 
-/// Another gateway's answer to the question what it still holds of a limit.
+/// Another gateway's answer about the share of a limit that it still holds.
 #[derive(Debug)]
 pub struct KeptShare {
-    /// The gateway with its incarnation.
+    /// The gateway, with its incarnation.
     pub holder: String,
-    /// What it still holds.
+    /// The part of the limit that it still holds.
     pub kept: u64,
-    /// How much ends there each second.
+    /// Work counted against the limit that ends there each second.
     pub ended_per_second: u64,
 }
 
-/// Who wasn't heard when a gateway came back.
+/// How many of the gateways were silent when one was heard again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerSilence {
-    /// Few: they were away.
+    /// At most half: those gateways were away.
     Minority,
-    /// Most: rather this gateway was cut off, or stood still.
+    /// More than half: more likely this gateway itself was partitioned off, or paused.
     Majority,
 }
 
@@ -64,125 +64,126 @@
     }
 }
 
-/// Whether a job's owner is there.
+/// Whether the owner of a job is alive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OwnerLiveness {
-    /// A link to it stands.
+    /// There is a link to it.
     Alive,
-    /// There is no link, but not for long.
+    /// There is no link, but not yet for long enough to consider it dead.
     Doubtful,
-    /// It restarted, stops, or has had no link for long.
+    /// It restarted, hands its jobs over, or is considered dead.
     Gone,
 }
 
-/// What another gateway told of an item's body.
+/// Another gateway's answer to a read of an item's body.
 #[derive(Debug)]
 pub struct ItemBodyReply {
-    /// Whether it can tell.
+    /// Whether it can answer; it can't if it doesn't own the job, or if the body is too large for a message.
     pub is_known: bool,
-    /// The body; `None` when the job has no such item.
+    /// The body; `None` when the job has no such item, or the account has no access to it.
     pub body: Option<Payload>,
 }
 
-/// How long a process had run when it told.
+/// Uptime of a process, as reported at a point in time.
 #[derive(Debug, Clone, Copy)]
-struct Up {
+struct ReportedUptime {
     at: MonoTime,
     up: Duration,
 }
 
-/// One other gateway.
+/// State of one other gateway.
 #[derive(Debug)]
 struct PeerRecord {
-    /// As it registered; `None` when only its link is known yet.
+    /// Its entry in the store; `None` while only its name or its link is known.
     entry: Option<GatewayEntry>,
-    /// Keeps a link to it standing, where it's ours to dial.
+    /// Keeps a link to it open, where this side dials.
     dialer: Option<(SocketAddr, LinkDialer)>,
     link: Option<LinkHandle>,
-    /// Name with incarnation, as told on the link.
+    /// VM name with incarnation, as announced on the current link.
     owner: Option<String>,
-    /// The same as it was told last, on any link.
+    /// The last one announced on any link.
     last_owner: Option<String>,
-    /// Since when there is no link.
+    /// When its last link went down, or when it was first heard of.
     down_since: MonoTime,
-    /// When anything came from it last. Meaningless while `was_linked` is false.
+    /// When anything was last received from it. Meaningless while `was_linked` is false.
     heard_at: MonoTime,
-    /// A link to it stood once.
+    /// Whether there ever was a link to it.
     was_linked: bool,
-    /// Since when its process runs, as it told on its link; `None` before it did.
-    up_since: Option<Up>,
-    /// The last link was closed from the other side: its process ended, as far as can be told.
+    /// Uptime of its process as announced on its link; `None` before that.
+    uptime: Option<ReportedUptime>,
+    /// Whether its last link was closed by the other side, which most likely means that its process ended.
     has_ended: bool,
-    /// It has had no link for so long that it doesn't count among the known ones. Reset by a link.
+    /// Whether it has had no link for so long that it doesn't count as known any more. Reset by a link.
     is_lost: bool,
-    /// It was told to stop, and takes no jobs over.
+    /// Whether it is stopping; it takes no jobs over then.
     is_stopping: bool,
-    /// It said that it leaves its jobs to others.
+    /// Whether it has announced that it hands its jobs over.
     is_leaving: bool,
-    /// It follows the store.
+    /// Whether it follows the store.
     is_watching: bool,
 }
 
-/// A gateway that was lost may have left a write to the store behind, which is done a little later: jobs read sooner
-/// than this after the loss may lack one.
-const LAST_WRITES: Duration = Duration::from_millis(500);
+/// A store write of a gateway may take effect up to this long after contact with it was lost: a list of jobs that was
+/// requested earlier may lack the job.
+const LATE_WRITE_WINDOW: Duration = Duration::from_millis(500);
 
-/// Until when the other gateways' jobs are known.
+/// Whether all recent jobs of the other gateways are known here.
 #[derive(Debug, Default)]
-struct JobNewsClock {
-    /// From when on a job may have been missed; at first the process's start.
+struct JobCoverage {
+    /// When a job was last possibly missed; initially the start of the process.
     missed_at: MonoTime,
-    /// When all jobs in the store were asked for last.
+    /// When the last complete list of the jobs in the store was requested.
     listed_at: Option<MonoTime>,
 }
 
-impl JobNewsClock {
-    fn is_whole(&self, span: Duration, now: MonoTime) -> bool {
-        let is_listed = self.listed_at.is_some_and(|at| at >= self.missed_at + LAST_WRITES);
+impl JobCoverage {
+    fn is_complete(&self, span: Duration, now: MonoTime) -> bool {
+        let is_listed = self.listed_at.is_some_and(|at| at >= self.missed_at + LATE_WRITE_WINDOW);
         is_listed || now.since(self.missed_at) >= span
     }
 }
 
-/// The other gateways.
+/// The other gateways, and pending calls to them.
 #[derive(Debug, Default)]
 pub struct PeerTable {
     peers: Mutex<FastMap<VmName, PeerRecord>>,
-    /// Questions about jobs.
-    pub job_calls: CallTable<JobNews>,
-    /// Questions for items' bodies.
+    /// Reads of jobs.
+    pub job_calls: CallTable<JobReadReply>,
+    /// Reads of items' bodies.
     pub body_calls: CallTable<ItemBodyReply>,
-    /// Calls to the store that another gateway makes.
+    /// Store calls that another gateway makes for this one.
     pub store_calls: CallTable<StoreCallEnd>,
-    /// Questions for places at other gateways' targets.
-    pub place_calls: CallTable<PlaceAnswer>,
-    /// Questions for shares of limits.
+    /// Requests for slots at targets whose home is another gateway.
+    pub slot_calls: CallTable<PlaceAnswer>,
+    /// Queries of held shares of limits.
     pub share_calls: CallTable<KeptShare>,
-    /// Questions for credit of accounts' limits.
+    /// Requests for credit of account limits.
     pub credit_calls: CallTable<CreditAnswer>,
-    /// Questions how old the configuration is.
-    pub age_calls: CallTable<ToldAge>,
-    /// When the gateways' entries were read last.
+    /// Queries of the age of configuration proofs.
+    pub age_calls: CallTable<ProofAge>,
+    /// When the gateways' entries were last read.
     pub entries: FeedClock,
-    /// Which jobs of the others are known.
-    job_news: Mutex<JobNewsClock>,
-    /// Messages on links.
+    /// Whether all recent jobs of the others are known.
+    job_coverage: Mutex<JobCoverage>,
+    /// Counters of messages on links.
     pub traffic: PeerTraffic,
-    /// When to ask for newer state.
+    /// Decides when to request newer state.
     catch_up: Mutex<CatchUp>,
 }
 
 impl PeerTable {
-    /// An empty table that counts messages by `traffic`.
+    /// An empty table whose messages are counted by `traffic`.
     pub fn new(traffic: PeerTraffic) -> Self {
         Self { traffic, ..Self::default() }
     }
 
-    /// When to ask for newer state.
+    /// Decides when to request newer state.
     pub fn catch_up(&self) -> MutexGuard<'_, CatchUp> {
         self.catch_up.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes a gateway's entry. `dial` makes a dialler; it's called when this side has to dial.
+    /// Adds or updates a gateway's entry. `dial`, given where this side dials, starts a dialer; it is called if the
+    /// address is new.
     pub fn put_entry(
         &self,
         vm: &VmName,
@@ -193,8 +194,8 @@
         let mut peers = self.peers();
         let record = peers.entry(vm.clone()).or_insert_with(|| PeerRecord::new(now));
         if let Some(dial) = dial {
-            let stands = record.dialer.as_ref().is_some_and(|(at, _)| *at == entry.address);
-            if !stands {
+            let is_current = record.dialer.as_ref().is_some_and(|(at, _)| *at == entry.address);
+            if !is_current {
                 record.dialer = Some((entry.address, dial(entry.address)));
             }
         }
@@ -206,8 +207,8 @@
         record.entry = Some(entry);
     }
 
-    /// A gateway's entry is gone. While a link to it stands it lives all the same: forgotten it would be
-    /// taken for dead, and its jobs taken over behind its back.
+    /// Removes a gateway's entry. A gateway with a link is still alive, so its record is kept; without the record it
+    /// would count as dead, and its jobs would be taken over while it still runs them.
     pub fn remove_entry(&self, vm: &VmName) {
         let mut peers = self.peers();
         match peers.get_mut(vm) {
@@ -216,7 +217,7 @@
         }
     }
 
-    /// A link stands; the silence of the other gateways until now.
+    /// Records a new link; returns how many gateways had been silent until now.
     pub fn link_up(&self, vm: &VmName, link: LinkHandle, now: MonoTime) -> PeerSilence {
         let mut peers = self.peers();
         let silence = PeerSilence::among(&peers, now);
@@ -224,7 +225,7 @@
         record.link = Some(link);
         record.heard_at = now;
         record.was_linked = true;
-        record.up_since = None;
+        record.uptime = None;
         record.has_ended = false;
         record.is_lost = false;
         record.owner = None;
@@ -233,11 +234,11 @@
         silence
     }
 
-    /// A link is gone, closed by the other side or silent; true when it was the one in use.
+    /// Records the loss of a link, closed by the other side or timed out. True if it was the link in use.
     pub fn link_down(&self, vm: &VmName, link: u64, is_closed: bool, now: MonoTime) -> bool {
         let mut peers = self.peers();
         let Some(record) = peers.get_mut(vm) else { return false };
-        if record.link.as_ref().is_none_or(|standing| standing.id() != link) {
+        if record.link.as_ref().is_none_or(|current| current.id() != link) {
             return false;
         }
         record.link = None;
@@ -249,8 +250,8 @@
         true
     }
 
-    /// Something came from a gateway; the silence that it ended, if that was so long that jobs of ours may have
-    /// been taken over in it.
+    /// Records that something came from a gateway. If it had been silent for so long that it may have taken over jobs
+    /// of this gateway, returns how many gateways were silent.
     pub fn note_heard(&self, vm: &VmName, now: MonoTime) -> Option<PeerSilence> {
         let mut peers = self.peers();
         let was_silent = peers.get(vm).is_some_and(|record| record.is_silent(now));
@@ -261,7 +262,7 @@
         silence
     }
 
-    /// Who a peer said it is.
+    /// Records the identity that a peer announced.
     pub fn set_owner(&self, vm: &VmName, owner: &str, now: MonoTime) {
         let mut peers = self.peers();
         let Some(record) = peers.get_mut(vm) else { return };
@@ -269,44 +270,45 @@
         let before = record.last_owner.replace(owner.to_owned());
         drop(peers);
         if before.as_deref() == Some(owner) {
-            // It lived on unheard, and may have taken jobs in and closed them. A new start hasn't.
+            // The same process ran on without contact, and may have accepted and closed jobs meanwhile. A
+            // restarted one has no such jobs.
             self.note_jobs_missed(now);
         }
     }
 
-    /// Who a peer said it is.
+    /// The identity that a peer announced on its current link.
     pub fn owner_of(&self, vm: &VmName) -> Option<String> {
         self.peers().get(vm).and_then(|record| record.owner.clone())
     }
 
-    /// A peer said that it was told to stop.
+    /// Records that a peer is stopping.
     pub fn set_stopping(&self, vm: &VmName) {
         if let Some(record) = self.peers().get_mut(vm) {
             record.is_stopping = true;
         }
     }
 
-    /// A peer said that it leaves its jobs to others.
+    /// Records that a peer hands its jobs over.
     pub fn set_leaving(&self, vm: &VmName) {
         if let Some(record) = self.peers().get_mut(vm) {
             record.is_leaving = true;
         }
     }
 
-    /// A peer said whether it follows the store.
+    /// Records whether a peer follows the store.
     pub fn set_watching(&self, vm: &VmName, is_watching: bool) {
         if let Some(record) = self.peers().get_mut(vm) {
             record.is_watching = is_watching;
         }
     }
 
-    /// Sends to one gateway; false when there is no link.
+    /// Sends a message to one gateway; false when there is no link.
     pub fn send(&self, vm: &VmName, message: PeerMessage) -> bool {
         let link = self.peers().get(vm).and_then(|record| record.link.clone());
         link.is_some_and(|link| self.send_on(&[link], &message) == 1)
     }
 
-    /// Sends to several gateways, as far as there are links.
+    /// Sends a message to several gateways; those without a link are skipped.
     pub fn send_to_all(&self, vms: &[&VmName], message: &PeerMessage) {
         let peers = self.peers();
         let links = vms.iter().filter_map(|vm| peers.get(*vm)?.link.clone());
@@ -315,8 +317,8 @@
         self.send_on(&links, message);
     }
 
-    /// Encodes a message once and queues it on `links`; on how many that succeeded. A full or closed queue
-    /// loses it: what is told is told again, asked for, or read from the store.
+    /// Encodes a message once and queues it on `links`; returns on how many that succeeded. A full or closed queue
+    /// drops it, which is safe: all state is sent again, requested, or read from the store.
     fn send_on(&self, links: &[LinkHandle], message: &PeerMessage) -> usize {
         let Ok(encoded) = EncodedMessage::encode(&LinkMessage::Peer(message.clone())) else {
             return 0;
@@ -326,7 +328,7 @@
         sent
     }
 
-    /// Sends to the gateway that `owner` names; false when there is no link to that incarnation.
+    /// Sends a message to the gateway with the identity `owner`; false when there is no link to that incarnation.
     pub fn send_to_owner(&self, owner: &str, message: PeerMessage) -> bool {
         let peers = self.peers();
         let found = peers.values().find(|record| record.owner.as_deref() == Some(owner));
@@ -335,33 +337,33 @@
         link.is_some_and(|link| self.send_on(&[link], &message) == 1)
     }
 
-    /// Sends to every gateway with a link.
+    /// Sends a message to every gateway with a link.
     pub fn broadcast(&self, message: &PeerMessage) {
         let links: Vec<LinkHandle> =
             self.peers().values().filter_map(|record| record.link.clone()).collect();
         self.send_on(&links, message);
     }
 
-    /// How many other gateways are known.
+    /// Number of other gateways in the table.
     pub fn known_count(&self) -> usize {
         self.peers().len()
     }
 
-    /// Gateways with a link, also those that stop.
+    /// Gateways with a link, including those that stop.
     pub fn linked_vms(&self) -> Vec<VmName> {
         let peers = self.peers();
         let linked = peers.iter().filter(|(_, record)| record.link.is_some());
         linked.map(|(vm, _)| vm.clone()).collect()
     }
 
-    /// How many links stand.
+    /// Number of links.
     pub fn link_count(&self) -> usize {
         self.peers().values().filter(|record| record.link.is_some()).count()
     }
 
-    /// Whether the gateway that `owner` names is alive at `now`. One without a link is doubtful for
-    /// a moment, also when it's heard of for the first time: a gateway that has just started owns
-    /// jobs before its entry is read here, and taken over at once they would have two owners.
+    /// Whether the gateway with the identity `owner` is alive at `now`. One without a link is first `Doubtful`, even
+    /// if it is heard of for the first time: a gateway that has just started may own jobs before its entry is read
+    /// here. Taken over at once, these would have two owners.
     pub fn liveness(&self, owner: &str, now: MonoTime) -> OwnerLiveness {
         let vm = owner.split_once('#').map_or(owner, |(vm, _)| vm);
         let mut peers = self.peers();
@@ -371,14 +373,14 @@
             OwnerLiveness::Gone
         } else if record.link.is_some() {
             OwnerLiveness::Alive
-        } else if now.since(record.down_since) < record.patience() {
+        } else if now.since(record.down_since) < record.dead_after() {
             OwnerLiveness::Doubtful
         } else {
             OwnerLiveness::Gone
         }
     }
 
-    /// Names of gateways that take jobs over. One that was told to stop would have to leave them again
+    /// Gateways that can take jobs over. Those that are stopping can't, as they would have to hand them over again
     /// a moment later.
     pub fn successor_vms(&self) -> Vec<VmName> {
         let peers = self.peers();
@@ -386,14 +388,14 @@
         peers.iter().filter(|(_, record)| takes(record)).map(|(vm, _)| vm.clone()).collect()
     }
 
-    /// Names of gateways with a link that haven't left.
+    /// Gateways with a link that don't hand their jobs over.
     pub fn live_vms(&self) -> Vec<VmName> {
         let peers = self.peers();
         let live = peers.iter().filter(|(_, r)| r.link.is_some() && !r.is_leaving);
         live.map(|(vm, _)| vm.clone()).collect()
     }
 
-    /// Gateways with a link that don't stop, each with its failure domain.
+    /// Gateways with a link and an entry that don't hand their jobs over, each with its failure domain.
     pub fn live_domains(&self) -> Vec<(String, String)> {
         let peers = self.peers();
         let live = peers.iter().filter(|(_, r)| r.link.is_some() && !r.is_leaving);
@@ -404,40 +406,40 @@
         named.collect()
     }
 
-    /// Whether the entries of gateways were read so recently that one that is missing here can't have taken
-    /// this one for dead yet. It may know this one's entry and get no link, when this one, which the
-    /// store turns away, is to dial.
+    /// Whether the gateways' entries were read so recently that a gateway missing here can't consider this one dead
+    /// yet. A gateway may know this one's entry and yet have no link to it: where this one is to dial but the store
+    /// rejects its calls, it never learns of the other.
     pub fn has_fresh_entries(&self, now: MonoTime) -> bool {
         self.entries.is_fresh(now, ENTRIES_FRESH)
     }
 
-    /// Whether every known gateway was heard a moment ago. While one isn't, it may have taken jobs of ours
-    /// over. A link that still looks up says nothing: a process that stood still hasn't read yet that the
-    /// others closed it.
+    /// Whether no known gateway is silent. A silent one may have taken over jobs of this gateway. That a link is still
+    /// open doesn't suffice: after a pause, this process may not have noticed yet that the others closed it.
     pub fn hears_all_peers(&self, now: MonoTime) -> bool {
         !self.peers().values().any(|record| record.is_silent(now))
     }
 
-    /// Whether every job is known that a client may send again: each gateway has been heard for `span`, which is
-    /// longer than a client tries, or all jobs in the store were read since one wasn't.
+    /// Whether every job that a client may submit again is known. The entries must be fresh and no gateway silent, and
+    /// either contact with all gateways has lasted for `span`, which is longer than clients retry, or all jobs in the
+    /// store were read since it was last lost.
     pub fn knows_all_recent_jobs(&self, span: Duration, now: MonoTime) -> bool {
         self.has_fresh_entries(now)
             && self.hears_all_peers(now)
-            && self.job_news().is_whole(span, now)
+            && self.job_coverage().is_complete(span, now)
     }
 
-    /// All jobs in the store were read, asked for at `asked`.
+    /// Records a read of all jobs in the store, requested at `asked`.
     pub fn note_jobs_listed(&self, asked: MonoTime) {
-        self.job_news().listed_at = Some(asked);
+        self.job_coverage().listed_at = Some(asked);
     }
 
-    /// From now on another gateway may have taken jobs in unheard, or have died before it told of one.
+    /// Records that another gateway may have accepted jobs without contact, or died before it announced one.
     fn note_jobs_missed(&self, now: MonoTime) {
-        self.job_news().missed_at = now;
+        self.job_coverage().missed_at = now;
     }
 
-    fn job_news(&self) -> MutexGuard<'_, JobNewsClock> {
-        self.job_news.lock().unwrap_or_else(PoisonError::into_inner)
+    fn job_coverage(&self) -> MutexGuard<'_, JobCoverage> {
+        self.job_coverage.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn peers(&self) -> MutexGuard<'_, FastMap<VmName, PeerRecord>> {
@@ -446,14 +448,14 @@
 }
 
 impl PeerRecord {
-    /// How long its process has run; zero before it told.
-    fn up(&self, now: MonoTime) -> Duration {
-        self.up_since.map_or(Duration::ZERO, |told| told.up + now.since(told.at))
+    /// Uptime of its process; zero before it announced one.
+    fn current_uptime(&self, now: MonoTime) -> Duration {
+        self.uptime.map_or(Duration::ZERO, |told| told.up + now.since(told.at))
     }
 
-    /// Whether it may have taken jobs of ours over: it hasn't been heard for long, or its link is down. A
-    /// gateway that was only named, and neither registered nor linked to, isn't counted; nor is one that
-    /// has left, as it takes no jobs over until it starts again, which its entry or its link tells.
+    /// Whether it may have taken over jobs of this gateway: nothing came from it for long, or its link is down. One
+    /// whose name is known but that has neither an entry nor ever had a link doesn't count. Nor does one that handed
+    /// its jobs over: it takes none over until it restarts, which its entry or its link shows.
     fn is_silent(&self, now: MonoTime) -> bool {
         let is_known = self.entry.is_some() || self.was_linked;
         is_known
@@ -461,9 +463,9 @@
             && (self.link.is_none() || now.since(self.heard_at) >= PEER_SILENT_AFTER)
     }
 
-    /// How long it may be without a link before it is taken for dead. One that was never linked to may live
-    /// and not have heard of us yet, when it's we who have just started.
-    fn patience(&self) -> Duration {
+    /// How long it may be without a link before it is considered dead. One that never had a link may be alive but not
+    /// know this gateway yet, if this one has just started.
+    fn dead_after(&self) -> Duration {
         if self.was_linked { PEER_DEAD_AFTER } else { FIRST_LINK_TIMEOUT }
     }
 
@@ -477,7 +479,7 @@
             down_since: now,
             heard_at: now,
             was_linked: false,
-            up_since: None,
+            uptime: None,
             has_ended: false,
             is_lost: false,
             is_stopping: false,
--- a/crates/entry/src/peers/table/census.rs
+++ b/crates/entry/src/peers/table/census.rs
@@ -1,16 +1,16 @@
-//! Which of the other gateways count when something is divided among all, or asked of one.
+//! Selection of gateways: which ones follow the store, which one to ask, and which ones are limiters of accounts.
 
 use std::time::Duration;
 
 use notch_relay::prelude::PeerCensus;
 use notch_types::prelude::*;
 
-use super::{PeerRecord, PeerTable, Up};
+use super::{PeerRecord, PeerTable, ReportedUptime};
 
-/// Who had no link for so long isn't counted among the known gateways: a VM was removed for good.
+/// A gateway without a link for this long no longer counts as known: its VM was probably removed for good.
 const PEER_LOST: Duration = Duration::from_secs(60);
-/// A gateway whose process runs this long is known to all others: they read the gateways' entries more often.
-const LIMITER_AGE: Duration = Duration::from_secs(3);
+/// Uptime from which a gateway is known to all others, as they read the gateways' entries more often than this.
+const LIMITER_MIN_UPTIME: Duration = Duration::from_secs(3);
 
 fn census(peers: &FastMap<VmName, PeerRecord>) -> PeerCensus {
     let known = peers.values().filter(|record| !record.is_lost);
@@ -24,7 +24,7 @@
 }
 
 impl PeerTable {
-    /// How many gateways that come before `own` follow the store.
+    /// Number of gateways ranked before `own` that follow the store.
     pub fn watchers_before(&self, own: &VmName) -> usize {
         let rank = |vm: &VmName| stable_hash64(&[b"watch", vm.as_str().as_bytes()]);
         let own = rank(own);
@@ -34,7 +34,7 @@
         before.count()
     }
 
-    /// A gateway that follows the store, drawn by a number from 0 to 1; `None` when none does.
+    /// A gateway that follows the store, selected by the random number `draw` in [0, 1); `None` when none does.
     pub fn follower(&self, draw: f64) -> Option<VmName> {
         let peers = self.peers();
         let follows = |r: &PeerRecord| r.is_watching && !r.is_leaving && r.link.is_some();
@@ -53,9 +53,9 @@
         followers.map(|(vm, _)| vm.clone()).collect()
     }
 
-    /// The gateway to ask how old the configuration is: for one that follows the store, the first of these;
-    /// for another one any of these. `None` when `own` is the first, or none follows.
-    pub fn proving_gateway(&self, own: &VmName, is_follower: bool, draw: f64) -> Option<VmName> {
+    /// The gateway to ask for a configuration proof: a follower of the store asks the follower ranked first, any other
+    /// gateway asks a random follower. `None` when `own` is ranked first or there is no follower.
+    pub fn proof_source(&self, own: &VmName, is_follower: bool, draw: f64) -> Option<VmName> {
         if !is_follower {
             return self.follower(draw);
         }
@@ -64,8 +64,8 @@
         (rank(&first) > rank(own)).then_some(first)
     }
 
-    /// Gateways that haven't been heard for long don't count among the known ones, as long as most of the
-    /// others are heard: one that is cut off itself must not take the rest for gone.
+    /// Marks gateways that have had no link for long as lost, if most of the others are heard: a gateway that is
+    /// partitioned off itself must not consider all others gone.
     pub fn note_lost(&self, now: MonoTime) {
         let mut peers = self.peers();
         if !census(&peers).has_quorum() {
@@ -77,9 +77,9 @@
         }
     }
 
-    /// What is heard of the other gateways, and those among which limits of accounts are divided, `own` among
-    /// them unless it stops. One that has just started takes part when all others have heard of it, at the same
-    /// moment for all.
+    /// The census of the other gateways, and the gateways among which the limiters of accounts are chosen. `own` is one
+    /// of those unless it stops. A gateway that has just started becomes a candidate once all others know it, at the
+    /// same uptime for all.
     pub fn limiter_candidates(
         &self,
         own: Option<&VmName>,
@@ -90,19 +90,19 @@
         let census = census(&peers);
         let takes_part = |r: &PeerRecord| r.link.is_some() && !r.is_leaving && !r.is_stopping;
         let able = peers.iter().filter(|(_, record)| takes_part(record));
-        let able = able.map(|(vm, record)| (vm, record.up(now)));
+        let able = able.map(|(vm, record)| (vm, record.current_uptime(now)));
         let able: Vec<(&VmName, Duration)> = able.chain(own.map(|vm| (vm, own_up))).collect();
-        let old = able.iter().filter(|(_, up)| *up >= LIMITER_AGE).count();
-        // After a restart of all, nobody is old.
-        let least = if old * 2 > able.len() { LIMITER_AGE } else { Duration::ZERO };
+        let old = able.iter().filter(|(_, up)| *up >= LIMITER_MIN_UPTIME).count();
+        // After a restart of all gateways, none has reached that uptime.
+        let least = if old * 2 > able.len() { LIMITER_MIN_UPTIME } else { Duration::ZERO };
         let chosen = able.into_iter().filter(|(_, up)| *up >= least);
         (census, chosen.map(|(vm, _)| vm.clone()).collect())
     }
 
-    /// How long a peer's process has run, as it told.
-    pub fn set_up(&self, vm: &VmName, up: Duration, now: MonoTime) {
+    /// Records the uptime that a peer announced.
+    pub fn set_uptime(&self, vm: &VmName, up: Duration, now: MonoTime) {
         if let Some(record) = self.peers().get_mut(vm) {
-            record.up_since = Some(Up { at: now, up });
+            record.uptime = Some(ReportedUptime { at: now, up });
         }
     }
 }
--- a/crates/entry/src/stop.rs
+++ b/crates/entry/src/stop.rs
@@ -1,4 +1,4 @@
-//! Whether the process is stopping.
+//! State of a graceful stop.
 
 use std::{
     sync::{
@@ -11,20 +11,20 @@
 use event_listener::{Event, EventListener};
 use notch_types::prelude::*;
 
-/// Whether the process is stopping, and what still runs.
+/// State of a graceful stop, and the number of requests that still run.
 #[derive(Debug, Default)]
 pub struct StopState {
     since: Mutex<Option<MonoTime>>,
-    /// Requests being served.
+    /// Number of requests being served.
     active: AtomicUsize,
-    /// Tells idle connections to end.
-    idle_over: Event,
-    is_idle_over: AtomicBool,
-    /// Jobs are being left to other gateways: no item starts any more.
+    /// Notified when idle connections are to be closed.
+    idle_closing: Event,
+    is_closing_idle: AtomicBool,
+    /// Whether jobs are being handed over to other gateways; no new items are started then.
     is_handing_over: AtomicBool,
 }
 
-/// Counts one request for as long as it lives.
+/// Counts one active request until dropped.
 #[derive(Debug)]
 pub struct ActiveGuard<'a>(&'a AtomicUsize);
 
@@ -35,18 +35,18 @@
 }
 
 impl StopState {
-    /// The signal to stop came.
+    /// Records the stop signal.
     pub fn begin(&self, now: MonoTime) {
         let mut since = self.since.lock().unwrap_or_else(PoisonError::into_inner);
         since.get_or_insert(now);
     }
 
-    /// Whether the signal to stop came.
+    /// Whether the stop signal was received.
     pub fn is_stopping(&self) -> bool {
         self.since.lock().unwrap_or_else(PoisonError::into_inner).is_some()
     }
 
-    /// How long ago the signal came; zero without one.
+    /// Time since the stop signal; zero without one.
     pub fn age(&self, now: MonoTime) -> Duration {
         let since = *self.since.lock().unwrap_or_else(PoisonError::into_inner);
         since.map_or(Duration::ZERO, |since| now.since(since))
@@ -58,30 +58,30 @@
         ActiveGuard(&self.active)
     }
 
-    /// Requests being served.
+    /// Number of requests being served.
     pub fn active(&self) -> usize {
         self.active.load(Ordering::Acquire)
     }
 
-    /// Begins to leave the jobs to other gateways.
-    pub fn hand_over(&self) {
+    /// Begins to hand jobs over to other gateways.
+    pub fn begin_handover(&self) {
         self.is_handing_over.store(true, Ordering::Release);
     }
 
-    /// Whether the jobs are being left to other gateways.
+    /// Whether jobs are being handed over to other gateways.
     pub fn is_handing_over(&self) -> bool {
         self.is_handing_over.load(Ordering::Acquire)
     }
 
-    /// Ends idle connections, now and from now on.
-    pub fn end_idle(&self) {
-        self.is_idle_over.store(true, Ordering::Release);
-        self.idle_over.notify(usize::MAX);
+    /// Closes idle connections, now and from now on.
+    pub fn close_idle(&self) {
+        self.is_closing_idle.store(true, Ordering::Release);
+        self.idle_closing.notify(usize::MAX);
     }
 
-    /// Waits until idle connections are to end; `None` when they are already.
-    pub fn idle_end(&self) -> Option<EventListener> {
-        let listener = self.idle_over.listen();
-        (!self.is_idle_over.load(Ordering::Acquire)).then_some(listener)
+    /// A listener for the moment when idle connections are to be closed; `None` when that has come.
+    pub fn idle_close(&self) -> Option<EventListener> {
+        let listener = self.idle_closing.listen();
+        (!self.is_closing_idle.load(Ordering::Acquire)).then_some(listener)
     }
 }
--- a/crates/entry/src/target/connection.rs
+++ b/crates/entry/src/target/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a target, and the exchange of one request on it.
+//! A connection to a target, and the exchange of a request and its answer on it.
 
 use std::time::Duration;
 
@@ -9,28 +9,28 @@
 
 use crate::constants::{ANSWER_BODY_BYTES, ANSWER_HEAD_BYTES};
 
-/// One connection to a target.
+/// A connection to a target.
 #[derive(Debug)]
 pub struct TargetConnection {
-    /// Reads from it.
+    /// Reader of the connection.
     pub reader: WireReader,
-    /// Whether an answer of another request came: it is never used again.
-    pub is_odd: bool,
+    /// Whether an answer to another request was received; such a connection isn't reused.
+    pub is_out_of_sync: bool,
 }
 
 impl TargetConnection {
-    /// A connection on which nothing was sent yet.
+    /// Wraps a connection on which nothing was sent yet.
     pub fn new(reader: WireReader) -> Self {
-        Self { reader, is_odd: false }
+        Self { reader, is_out_of_sync: false }
     }
 
-    /// Sends a request and brings the head of its answer.
+    /// Sends a request and reads the head of its answer.
     ///
-    /// A late second answer to an earlier request may come first. The attempt's id tells it from
-    /// ours; it is passed over, and the connection isn't kept.
+    /// A late duplicate answer to an earlier request may arrive first. It is recognized by its attempt id and
+    /// skipped, and the connection isn't reused afterwards.
     ///
     /// # Errors
-    /// What the failure says of the request, see [`AttemptFailure::verdict`].
+    /// How the attempt failed; [`AttemptFailure::verdict`] tells whether the request may have run.
     pub async fn exchange(
         &mut self,
         request: &[u8],
@@ -46,8 +46,8 @@
         request: &[u8],
         attempt: Option<&str>,
     ) -> Result<ResponseHead, AttemptFailure> {
-        // A target may answer before it has read all and close its side; its answer still counts,
-        // so a failed write is told only when no answer can be read.
+        // A target may answer and close its side before it has read the whole request. Such an answer
+        // is valid, so a failed write only counts if no answer can be read.
         let _ = write_all(self.reader.stream(), request).await;
         loop {
             let head = self.reader.response_head(ANSWER_HEAD_BYTES).await.map_err(head_failure)?;
@@ -57,10 +57,10 @@
                 _ => true,
             };
             if is_ours {
-                judge(&head)?;
+                check_head(&head)?;
                 return Ok(head);
             }
-            self.is_odd = true;
+            self.is_out_of_sync = true;
             let framing = head.framing().map_err(|_| AttemptFailure::SpoiledAnswer)?;
             let skipped = self.reader.whole_body(framing, ANSWER_BODY_BYTES).await;
             skipped.map_err(|_| AttemptFailure::ClosedBeforeAnswer)?;
@@ -75,9 +75,9 @@
     }
 }
 
-/// Whether the head begins the target's own answer. The statuses that promise that nothing ran
-/// count only with the target's word for it; without it the request may have run.
-fn judge(head: &ResponseHead) -> Result<(), AttemptFailure> {
+/// Checks that the head begins a usable answer of the target. A status that normally means that nothing ran is
+/// trusted only if the target marked the request as not run; otherwise the request may have run.
+fn check_head(head: &ResponseHead) -> Result<(), AttemptFailure> {
     let marks = AnswerMarks::decode(head);
     match head.status {
         421 => Err(AttemptFailure::OtherTarget),
--- a/crates/entry/src/target/pool.rs
+++ b/crates/entry/src/target/pool.rs
@@ -23,29 +23,31 @@
 struct IdleConnection {
     reader: WireReader,
     since: Instant,
-    /// How long it may stay idle.
+    /// Maximum idle time.
     lifetime: Duration,
 }
 
-/// Idle connections by target. Each new one costs, and takes a place at the target for a moment.
+/// Idle connections by target. They are reused because each new one takes time and briefly occupies a slot at the
+/// target.
 #[derive(Debug, Default)]
 pub struct TargetPool {
     idle: Mutex<FastMap<String, Vec<IdleConnection>>>,
 }
 
 impl TargetPool {
-    /// A connection to the target: an idle one if one is sound, else a new one. With `strict`, for
-    /// a request that can't be repeated, only one that was used a moment ago.
+    /// A connection to the target: a usable idle one, else a new one. With `non_repeatable`, for a request
+    /// that can't be repeated, only an idle one within
+    /// [`NON_REPEATABLE_MAX_IDLE`](crate::constants::NON_REPEATABLE_MAX_IDLE) is reused.
     ///
     /// # Errors
-    /// `ConnectFailed`.
+    /// `ConnectFailed` when the connect fails or times out.
     pub async fn connect(
         &self,
         id: &str,
         address: SocketAddr,
-        strict: bool,
+        non_repeatable: bool,
     ) -> Result<TargetConnection, AttemptFailure> {
-        if let Some(reader) = self.take(id, strict) {
+        if let Some(reader) = self.take(id, non_repeatable) {
             return Ok(TargetConnection::new(reader));
         }
         let connecting = timeout(TARGET_CONNECT, TcpStream::connect(address)).await;
@@ -53,14 +55,15 @@
             Ok(Ok(stream)) => stream,
             Ok(Err(_)) | Err(_) => return Err(AttemptFailure::ConnectFailed),
         };
-        // Without it events would wait for acknowledgements; a socket that refuses it works.
+        // With Nagle's algorithm, small writes would wait for acknowledgements. A failure to disable it isn't
+        // fatal.
         let _ = stream.set_nodelay(true);
         Ok(TargetConnection::new(WireReader::new(stream)))
     }
 
-    /// Keeps a connection whose answer `head` was read to its end, unless something was odd.
+    /// Keeps a connection after the answer with `head` was read to its end, if it can be reused.
     pub fn give_back(&self, id: &str, connection: TargetConnection, head: &ResponseHead) {
-        if connection.is_odd || !head.keep_alive || connection.reader.has_buffered() {
+        if connection.is_out_of_sync || !head.keep_alive || connection.reader.has_buffered() {
             return;
         }
         let lifetime = AnswerMarks::decode(head).keeps_for.unwrap_or(IDLE_DEFAULT);
@@ -76,7 +79,7 @@
         }
     }
 
-    /// Drops idle connections to targets that are gone, and those that are too old.
+    /// Drops idle connections to unknown targets, and those past their maximum idle time.
     pub fn clean(&self, is_known: impl Fn(&str) -> bool) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         idle.retain(|id, list| {
@@ -85,13 +88,14 @@
         });
     }
 
-    fn take(&self, id: &str, strict: bool) -> Option<WireReader> {
+    fn take(&self, id: &str, non_repeatable: bool) -> Option<WireReader> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let list = idle.get_mut(id)?;
-        // The one used last comes first: the others age and are dropped when the crest is over.
+        // Last in, first out: after a load peak the surplus connections age and are dropped.
         while let Some(connection) = list.pop() {
             let age = connection.since.elapsed();
-            let too_old = age >= connection.lifetime || (strict && age >= NON_REPEATABLE_MAX_IDLE);
+            let too_old =
+                age >= connection.lifetime || (non_repeatable && age >= NON_REPEATABLE_MAX_IDLE);
             if !too_old && !connection.reader.is_unusable() {
                 return Some(connection.reader);
             }
