--- a/crates/entry/src/accounts/admission.rs
+++ b/crates/entry/src/accounts/admission.rs
@@ -84,13 +84,13 @@
 ///
 /// # Errors
 /// `OverLimit` when the limit is exhausted, `LimitUnknown` when that can't be determined.
-pub async fn take_credit(
+pub async fn charge_request(
     node: &EntryNode,
     caller: &CallerIdentity,
 ) -> Result<Option<AccountName>, AdmissionRefusal> {
     let CallerIdentity::Account(account) = caller else { return Ok(None) };
     let Some(limit) = account.limit else { return Ok(None) };
-    match credit::take(node, &account.name, limit).await {
+    match credit::charge(node, &account.name, limit).await {
         LimitVerdict::Within => Ok(Some(account.name.clone())),
         LimitVerdict::WithoutLimiter => Ok(None),
         LimitVerdict::Over { wait } => Err(AdmissionRefusal::OverLimit { wait }),
--- a/crates/entry/src/accounts/credit.rs
+++ b/crates/entry/src/accounts/credit.rs
@@ -31,7 +31,7 @@
 }
 
 /// Counts a request against its account's limit, with credit from the limiter where none is left here.
-pub async fn take(node: &EntryNode, account: &AccountName, limit: AccountLimit) -> LimitVerdict {
+pub async fn charge(node: &EntryNode, account: &AccountName, limit: AccountLimit) -> LimitVerdict {
     let began = node.clock.mono();
     let step = node.accounts.credits().begin(account, began);
     let wanted = match step {
@@ -43,7 +43,7 @@
     let mut limiter = find_limiter(node, account, began);
     for _ in 0..MAX_LIMITERS_ASKED {
         let Some(vm) = limiter else { break };
-        match ask(node, &vm, account, wanted).await {
+        match request_credit(node, &vm, account, wanted).await {
             Some(CreditAnswer::Granted(granted)) => {
                 node.accounts.credits().note_granted(account, granted, began);
                 return LimitVerdict::Within;
@@ -64,7 +64,7 @@
     decide_without_limiter(node, account, limit)
 }
 
-async fn ask(
+async fn request_credit(
     node: &EntryNode,
     vm: &VmName,
     account: &AccountName,
--- a/crates/entry/src/accounts/freshness.rs
+++ b/crates/entry/src/accounts/freshness.rs
@@ -69,15 +69,15 @@
 
 /// Gets a newer proof, from another gateway if possible, otherwise from the store. False when there is none.
 async fn renew(node: &EntryNode, renew_at: Duration) -> bool {
-    let Some(vm) = node.proof_source() else { return read(node).await };
-    match ask(node, &vm, renew_at * 2).await {
+    let Some(vm) = node.proof_source() else { return read_from_store(node).await };
+    match ask_gateway(node, &vm, renew_at * 2).await {
         ProofAnswer::Proved | ProofAnswer::Newer => true,
-        ProofAnswer::None => read(node).await,
+        ProofAnswer::None => read_from_store(node).await,
     }
 }
 
 /// Asks a gateway for a proof that is at most `max_age` old.
-async fn ask(node: &EntryNode, vm: &VmName, max_age: Duration) -> ProofAnswer {
+async fn ask_gateway(node: &EntryNode, vm: &VmName, max_age: Duration) -> ProofAnswer {
     let asked = node.clock.boot();
     let send = |call| node.peers.send(vm, PeerMessage::AgeAsk { call });
     let CallEnd::Answered(reply) = node.peers.age_calls.ask(send, ANSWER_TIMEOUT).await else {
@@ -97,7 +97,7 @@
 }
 
 /// Reads the configuration from the store. False when that failed.
-async fn read(node: &EntryNode) -> bool {
+async fn read_from_store(node: &EntryNode) -> bool {
     let asked = node.clock.boot();
     let path = object_path(CONFIGURATION_KIND, CONFIGURATION_NAME);
     let cause = StoreCallCause::ConfigurationConfirmed;
--- a/crates/entry/src/front/connection.rs
+++ b/crates/entry/src/front/connection.rs
@@ -169,7 +169,7 @@
                 intake::accept_job(self.node, &head, &body, &route, account, arrived).await;
             return Routed::Answer(answer, attempt);
         }
-        let credit = match admission::take_credit(self.node, &caller).await {
+        let credit = match admission::charge_request(self.node, &caller).await {
             Ok(credit) => credit,
             Err(refusal) => {
                 return Routed::Answer(self.refuse(attempt.as_deref(), &caller, refusal), attempt);
--- a/crates/entry/src/gateway.rs
+++ b/crates/entry/src/gateway.rs
@@ -233,7 +233,7 @@
         task::sleep(STOP_TICK).await;
         // Hands the remaining credit of accounts over to their new limiters.
         credit::refresh_view(node, node.clock.mono());
-        let age = node.stop.age(node.clock.mono());
+        let age = node.stop.elapsed(node.clock.mono());
         let has_successors = !node.peers.successor_vms().is_empty();
         if !has_handed_over
             && (age >= STOP_JOB_HANDOVER_ALONE || (has_successors && age >= STOP_JOB_HANDOVER))
@@ -272,8 +272,8 @@
     // The cancelled runs report their progress meanwhile.
     task::sleep(STOP_TICK).await;
     for job in &jobs {
-        let held = node.jobs().board.get(job).map(OwnedJob::progress);
-        if let Some(items) = held.filter(|items| !items.is_empty())
+        let progress = node.jobs().board.get(job).map(OwnedJob::progress);
+        if let Some(items) = progress.filter(|items| !items.is_empty())
             && let Some(successor) = takeover::first_for(node, job)
         {
             node.peers.send(&successor, PeerMessage::JobProgress { job: job.clone(), items });
--- a/crates/entry/src/online/relay.rs
+++ b/crates/entry/src/online/relay.rs
@@ -141,7 +141,7 @@
             if self.request.left(now).is_zero() {
                 return self.give_up("deadline").await;
             }
-            let Some(choice) = self.choose().await else {
+            let Some(choice) = self.choose_target().await else {
                 let since = *searching_since.get_or_insert(now);
                 // Only an answer that has begun waits for a slot. A new request is refused at once, with a
                 // retry delay.
@@ -164,7 +164,7 @@
                 }
                 Err(failure) => {
                     self.note_failure(&choice, failure);
-                    if !self.may_try_again(failure) {
+                    if !self.may_retry(failure) {
                         return self.give_up(failure.code()).await;
                     }
                 }
@@ -193,7 +193,7 @@
     }
 
     /// Chooses a target and counts the request there; `None` when no slot is available.
-    async fn choose(&mut self) -> Option<TargetChoice> {
+    async fn choose_target(&mut self) -> Option<TargetChoice> {
         let mut search = PlaceSearch::default();
         let choice = slots::find(self.node, &mut search, &self.query()).await;
         self.place_asks = search.asks();
@@ -322,7 +322,7 @@
         self.node.metrics.count(Counter::Event(failure.code()));
     }
 
-    fn may_try_again(&self, failure: AttemptFailure) -> bool {
+    fn may_retry(&self, failure: AttemptFailure) -> bool {
         match failure.verdict() {
             RunVerdict::NotRun => self.not_run <= MAX_NOT_RUN_RETRIES,
             RunVerdict::Unknown => {
--- a/crates/entry/src/online/slots.rs
+++ b/crates/entry/src/online/slots.rs
@@ -28,7 +28,7 @@
                 return Some(choice);
             }
             PlaceStep::Ask { home, may_displace } => {
-                let granted = ask(node, search, &home, query, may_displace).await;
+                let granted = request_slot(node, search, &home, query, may_displace).await;
                 if granted.is_some() {
                     return granted;
                 }
@@ -37,7 +37,7 @@
     }
 }
 
-async fn ask(
+async fn request_slot(
     node: &EntryNode,
     search: &mut PlaceSearch,
     home: &VmName,
@@ -45,8 +45,8 @@
     may_displace: bool,
 ) -> Option<TargetChoice> {
     let (service, avoid) = (query.service.to_owned(), query.avoid.to_vec());
-    let question = |call| PeerMessage::PlaceAsk { call, service, avoid, may_displace };
-    let send = |call| node.peers.send(home, question(call));
+    let request = |call| PeerMessage::PlaceAsk { call, service, avoid, may_displace };
+    let send = |call| node.peers.send(home, request(call));
     let end = node.peers.slot_calls.ask(send, ANSWER_TIMEOUT).await;
     let now = node.clock.mono();
     let code = match end {
--- a/crates/entry/src/peers/table.rs
+++ b/crates/entry/src/peers/table.rs
@@ -450,7 +450,7 @@
 impl PeerRecord {
     /// Uptime of its process; zero before it announced one.
     fn current_uptime(&self, now: MonoTime) -> Duration {
-        self.uptime.map_or(Duration::ZERO, |told| told.up + now.since(told.at))
+        self.uptime.map_or(Duration::ZERO, |reported| reported.up + now.since(reported.at))
     }
 
     /// Whether it may have taken over jobs of this gateway: nothing came from it for long, or its link is down. One
--- a/crates/entry/src/peers/table/census.rs
+++ b/crates/entry/src/peers/table/census.rs
@@ -89,13 +89,15 @@
         let peers = self.peers();
         let census = census(&peers);
         let takes_part = |r: &PeerRecord| r.link.is_some() && !r.is_leaving && !r.is_stopping;
-        let able = peers.iter().filter(|(_, record)| takes_part(record));
-        let able = able.map(|(vm, record)| (vm, record.current_uptime(now)));
-        let able: Vec<(&VmName, Duration)> = able.chain(own.map(|vm| (vm, own_up))).collect();
-        let old = able.iter().filter(|(_, up)| *up >= LIMITER_MIN_UPTIME).count();
+        let available = peers.iter().filter(|(_, record)| takes_part(record));
+        let available = available.map(|(vm, record)| (vm, record.current_uptime(now)));
+        let available: Vec<(&VmName, Duration)> =
+            available.chain(own.map(|vm| (vm, own_up))).collect();
+        let established = available.iter().filter(|(_, up)| *up >= LIMITER_MIN_UPTIME).count();
         // After a restart of all gateways, none has reached that uptime.
-        let least = if old * 2 > able.len() { LIMITER_MIN_UPTIME } else { Duration::ZERO };
-        let chosen = able.into_iter().filter(|(_, up)| *up >= least);
+        let min_uptime =
+            if established * 2 > available.len() { LIMITER_MIN_UPTIME } else { Duration::ZERO };
+        let chosen = available.into_iter().filter(|(_, up)| *up >= min_uptime);
         (census, chosen.map(|(vm, _)| vm.clone()).collect())
     }
 
--- a/crates/entry/src/stop.rs
+++ b/crates/entry/src/stop.rs
@@ -47,7 +47,7 @@
     }
 
     /// Time since the stop signal; zero without one.
-    pub fn age(&self, now: MonoTime) -> Duration {
+    pub fn elapsed(&self, now: MonoTime) -> Duration {
         let since = *self.since.lock().unwrap_or_else(PoisonError::into_inner);
         since.map_or(Duration::ZERO, |since| now.since(since))
     }
--- a/crates/entry/src/target/liveness.rs
+++ b/crates/entry/src/target/liveness.rs
@@ -23,7 +23,7 @@
 }
 
 async fn probe(node: &EntryNode, id: &str, address: SocketAddr) {
-    let is_alive = timeout(LIVENESS_TIMEOUT, answers(address)).await.unwrap_or(false);
+    let is_alive = timeout(LIVENESS_TIMEOUT, is_responding(address)).await.unwrap_or(false);
     node.log.info("target_probed", &[("target", &id), ("alive", &is_alive)]);
     if is_alive {
         node.targets().note_liveness(id);
@@ -33,7 +33,7 @@
     }
 }
 
-async fn answers(address: SocketAddr) -> bool {
+async fn is_responding(address: SocketAddr) -> bool {
     let Ok(stream) = TcpStream::connect(address).await else { return false };
     if write_all(&stream, &liveness_request(address)).await.is_err() {
         return false;
--- a/crates/h1/src/head.rs
+++ b/crates/h1/src/head.rs
@@ -75,16 +75,16 @@
     match (encodings.next(), lengths.next()) {
         (None, None) => Ok(None),
         (Some(encoding), None) => {
-            let plain = encoding.trim().eq_ignore_ascii_case("chunked");
-            if plain && encodings.next().is_none() {
+            let is_chunked = encoding.trim().eq_ignore_ascii_case("chunked");
+            if is_chunked && encodings.next().is_none() {
                 Ok(Some(BodyFraming::Chunked))
             } else {
                 Err(WireError::Malformed)
             }
         }
         (None, Some(length)) => {
-            let digits = !length.is_empty() && length.bytes().all(|b| b.is_ascii_digit());
-            let length = length.parse().ok().filter(|_| digits && lengths.next().is_none());
+            let is_numeric = !length.is_empty() && length.bytes().all(|b| b.is_ascii_digit());
+            let length = length.parse().ok().filter(|_| is_numeric && lengths.next().is_none());
             length.map(|l| Some(BodyFraming::Length(l))).ok_or(WireError::Malformed)
         }
         (Some(_), Some(_)) => Err(WireError::Malformed),
