--- a/crates/entry/src/accounts/freshness.rs
+++ b/crates/entry/src/accounts/freshness.rs
@@ -36,7 +36,7 @@
 /// Another gateway's answer about the age of its configuration proof.
 #[derive(Debug, Clone, Copy)]
 pub struct ProofAge {
-    /// The newest version of the configuration at that age.
+    /// The configuration version that was proved to be the newest one that long ago; 0 without a proof.
     pub version: u64,
     /// Age of its proof; `None` when it has none.
     pub age: Option<Duration>,
--- a/crates/entry/src/accounts/state.rs
+++ b/crates/entry/src/accounts/state.rs
@@ -49,7 +49,7 @@
     }
 
     /// Returns the credit of a request that was admitted but didn't run.
-    pub fn give_back(&self, account: &AccountName, now: MonoTime) {
+    pub fn refund(&self, account: &AccountName, now: MonoTime) {
         self.credits().give_back(account, now);
     }
 }
--- a/crates/entry/src/front/connection.rs
+++ b/crates/entry/src/front/connection.rs
@@ -219,7 +219,7 @@
             Either::Left((delivery, _)) => delivery,
             Either::Right(_) => {
                 RequestRelay::log_client_gone(self.node, request);
-                Delivery::Cut
+                Delivery::Incomplete
             }
         }
     }
--- a/crates/entry/src/gateway.rs
+++ b/crates/entry/src/gateway.rs
@@ -165,7 +165,7 @@
 
 async fn follow_targets(node: Arc<EntryNode>) {
     let plan = FeedPlan { duty: Some(&node), ..FeedPlan::default() };
-    follow(&node.store, TARGET_KIND, plan, |event| node.take_target_event(event)).await;
+    follow(&node.store, TARGET_KIND, plan, |event| node.apply_target_event(event)).await;
 }
 
 /// Logs the counts of store calls and job reads at intervals, so that few are lost when the gateway is killed.
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -272,7 +272,7 @@
     }
 
     /// Applies an event of the store's target feed.
-    pub fn take_target_event(&self, event: FeedEvent<'_>) {
+    pub fn apply_target_event(&self, event: FeedEvent<'_>) {
         let now = self.clock.mono();
         let lapsed_until = self.store.outage().lapsed_until();
         let mut feed = self.target_feed();
@@ -376,7 +376,7 @@
         }
     }
 
-    /// A random number in [0, 1).
+    /// Draws a random number in [0, 1).
     pub fn draw() -> f64 {
         rand::random()
     }
--- a/crates/entry/src/online/relay.rs
+++ b/crates/entry/src/online/relay.rs
@@ -33,7 +33,7 @@
     /// A complete answer was written; the connection can be reused.
     Answered,
     /// The answer is incomplete, or writing to the client failed; the connection must be closed.
-    Cut,
+    Incomplete,
 }
 
 /// How an attempt ended if the target didn't fail.
@@ -160,7 +160,7 @@
                 }
                 Ok(AttemptEnd::ClientGone) => {
                     self.log_end("client_unreachable", 0);
-                    return Delivery::Cut;
+                    return Delivery::Incomplete;
                 }
                 Err(failure) => {
                     self.note_failure(&choice, failure);
@@ -336,7 +336,7 @@
     async fn give_up(mut self, reason: &'static str) -> Delivery {
         if self.head_sent {
             self.log_end(reason, 0);
-            return Delivery::Cut;
+            return Delivery::Incomplete;
         }
         let (status, retry_after) = if reason == "quarantined" {
             (503, None)
@@ -348,7 +348,7 @@
             (502, None)
         };
         if let Some(account) = self.request.account.credit.as_ref().filter(|_| self.unknown == 0) {
-            self.node.accounts.give_back(account, self.now());
+            self.node.accounts.refund(account, self.now());
         }
         let mut writer = own_answer(status, self.request.attempt(), retry_after);
         if self.close {
@@ -357,7 +357,7 @@
         let written = write_all(self.client, &writer.with_body(&[])).await;
         self.node.metrics.count(Counter::Event("requests_given_up"));
         self.log_end(reason, status);
-        if written.is_ok() { Delivery::Answered } else { Delivery::Cut }
+        if written.is_ok() { Delivery::Answered } else { Delivery::Incomplete }
     }
 
     /// Retry delay of a refused client: the typical run time, after which a slot is likely to be free, plus a random
--- a/crates/entry/src/peers/demands.rs
+++ b/crates/entry/src/peers/demands.rs
@@ -47,7 +47,7 @@
         let demands = room::own_demands(&node, now);
         let total = demands.values().map(WorkDemand::total).sum();
         if last.is_due(total, has_new_job, now) {
-            node.peers.broadcast(&message(&node, &demands, now));
+            node.peers.broadcast(&demand_message(&node, &demands, now));
             last = LastAnnouncement { total, at: now };
         }
         // Announces jobs that arrive together in one message.
@@ -60,10 +60,14 @@
 /// any job.
 pub fn demand(node: &EntryNode) -> PeerMessage {
     let now = node.clock.mono();
-    message(node, &room::own_demands(node, now), now)
+    demand_message(node, &room::own_demands(node, now), now)
 }
 
-fn message(node: &EntryNode, demands: &FastMap<String, WorkDemand>, now: MonoTime) -> PeerMessage {
+fn demand_message(
+    node: &EntryNode,
+    demands: &FastMap<String, WorkDemand>,
+    now: MonoTime,
+) -> PeerMessage {
     let report = |(service, demand): (&String, &WorkDemand)| ServiceDemandReport {
         service: service.clone(),
         works: demand
