--- a/crates/entry/src/target/liveness.rs
+++ b/crates/entry/src/target/liveness.rs
@@ -12,8 +12,8 @@
     node::EntryNode,
 };
 
-/// Asks targets that went silent, until the process ends. All are asked at once: one after the other,
-/// ten that stay silent would keep one that is back from being used for a second and a half.
+/// Probes silent targets until the process ends. All are probed at once: one after the other, ten targets that
+/// stay silent would delay the use of a recovered one by a second and a half.
 pub async fn probe_silent(node: Arc<EntryNode>) {
     loop {
         task::sleep(LIVENESS_TICK).await;
@@ -23,7 +23,7 @@
 }
 
 async fn probe(node: &EntryNode, id: &str, address: SocketAddr) {
-    let is_alive = timeout(LIVENESS_TIMEOUT, answers(address)).await.unwrap_or(false);
+    let is_alive = timeout(LIVENESS_TIMEOUT, is_responding(address)).await.unwrap_or(false);
     node.log.info("target_probed", &[("target", &id), ("alive", &is_alive)]);
     if is_alive {
         node.targets().note_liveness(id);
@@ -33,7 +33,7 @@
     }
 }
 
-async fn answers(address: SocketAddr) -> bool {
+async fn is_responding(address: SocketAddr) -> bool {
     let Ok(stream) = TcpStream::connect(address).await else { return false };
     if write_all(&stream, &liveness_request(address)).await.is_err() {
         return false;
