--- a/crates/entry/src/batch.rs
+++ b/crates/entry/src/batch.rs
@@ -1,4 +1,5 @@
-//! Jobs: taken in, run, read, ended, and taken over from gateways that died.
+//! Batch jobs: accepting, running, reading and ending them, and taking over those of failed
+//! gateways.
 
 pub mod bodies;
 pub mod closing;
--- a/crates/entry/src/batch/commits.rs
+++ b/crates/entry/src/batch/commits.rs
@@ -1,4 +1,4 @@
-//! Stores results of a job.
+//! Stores the results of jobs.
 
 use std::sync::Arc;
 
@@ -16,17 +16,17 @@
     store::retry::until_answered,
 };
 
-/// A place in a job's stored list.
+/// A position in a job's stored result list.
 #[derive(Debug, Clone, Copy)]
 pub struct ListPlace {
-    /// Results before it.
+    /// Number of results before it.
     pub position: usize,
-    /// Fences before it, at that position.
+    /// Number of fences before it, at that position.
     pub fences: u32,
 }
 
-/// Stores results at a place, for as long as it takes: a write without an answer may still take
-/// effect, so only the same results are tried again there.
+/// Stores results at a position, retrying until the store answers. A write without an answer may
+/// still take effect, so only the same results may be retried there.
 pub async fn store(
     node: Arc<EntryNode>,
     job: String,
@@ -51,7 +51,7 @@
                     ("ms", &now.since(began).as_millis()),
                 ],
             );
-            take_stored(&node, &job, now).await;
+            apply_stored(&node, &job, now).await;
         }
         ChunkOutcome::Displaced { writer, lines } => {
             node.log.warn(
@@ -59,12 +59,12 @@
                 &[("job", &job), ("position", &position), ("writer", &writer)],
             );
             node.metrics.count(Counter::Dropped(DropReason::DuplicateResult));
-            take_displaced(&node, &job, lines, now).await;
+            apply_displaced(&node, &job, lines, now).await;
         }
     }
 }
 
-async fn take_stored(node: &Arc<EntryNode>, job: &str, now: MonoTime) {
+async fn apply_stored(node: &Arc<EntryNode>, job: &str, now: MonoTime) {
     let is_closed = {
         let mut registry = node.jobs();
         let Some(owned) = registry.table.get_mut(job) else { return };
@@ -80,9 +80,9 @@
     }
 }
 
-/// Another gateway wrote where we wanted to: it owns the job, or owned it before us and its write
-/// came late. The job's object tells which.
-async fn take_displaced(
+/// Handles results that another gateway wrote at this position. Either it owns the job, or it was
+/// the previous owner and its write was delayed; the job's object in the store tells which.
+async fn apply_displaced(
     node: &Arc<EntryNode>,
     job: &str,
     lines: Vec<Arc<ResultLine>>,
--- a/crates/entry/src/batch/deadline_admission.rs
+++ b/crates/entry/src/batch/deadline_admission.rs
@@ -29,7 +29,7 @@
     if let Some(wait) = refusal_of(node, &registry, route, job, now) {
         return Err(wait);
     }
-    registry.note_arriving(&spec.id, &route.name, job);
+    registry.note_pending_work(&spec.id, &route.name, job);
     drop(registry);
     node.jobs_taken.notify(usize::MAX);
     Ok(())
--- a/crates/entry/src/batch/ends.rs
+++ b/crates/entry/src/batch/ends.rs
@@ -1,4 +1,4 @@
-//! Ends jobs.
+//! Ends jobs at a client's request.
 
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
     },
 };
 
-/// A client ends a job: told so only once the end is stored.
+/// Ends a job for a client. The client gets a 200 only once the end is stored.
 pub async fn end_job(node: &Arc<EntryNode>, job: &str, account: &str) -> OwnAnswer {
     let is_known = {
         let registry = node.jobs();
@@ -29,7 +29,7 @@
         if registry.is_ended(job) {
             return answer(node, job, "ended_before", OwnAnswer::of(200));
         }
-        // Who may end a job must be known, where there are accounts.
+        // With client accounts, the job's account must be known to decide who may end it.
         registry.is_known(job) && (owner.is_some() || account.is_empty())
     };
     if !is_known {
@@ -42,7 +42,7 @@
             }
         }
     }
-    // Nothing runs once the client may take it as ended, whatever becomes of the answer.
+    // Once the end is stored no gateway may run the job any more, even if the answer is lost.
     match store_end(&node.store, job).await {
         Ok(()) => {
             apply_job_end(node, job, "client");
@@ -53,7 +53,7 @@
     }
 }
 
-/// A job's end is stored: nothing of it runs here any more.
+/// Applies a job's end that is stored: nothing of the job runs here any more.
 pub fn apply_job_end(node: &EntryNode, job: &str, source: &str) {
     let now = node.clock.mono();
     let mut registry = node.jobs();
@@ -70,13 +70,13 @@
     node.log.info("job_ended", &[("job", &job), ("source", &source), ("owned", &was_owned)]);
     node.job_news.notify(usize::MAX);
     if source == "store" {
-        // Gateways that don't follow the store hear of it from here.
+        // Passes the end on to gateways that do not follow the store themselves.
         node.peers.broadcast(&PeerMessage::JobEnded(job.to_owned()));
     }
 }
 
-/// Follows ends of jobs in the store: the gateway that owns a job may be out of touch with the one
-/// that the client told.
+/// Follows the ends of jobs in the store. The gateway that owns a job may have no link to the one
+/// that ended it for the client.
 pub async fn follow_ends(node: Arc<EntryNode>) {
     let plan = FeedPlan { watcher: Some(&node), ..FeedPlan::default() };
     follow(&node.store, END_KIND, plan, |event| match event {
--- a/crates/entry/src/batch/intake.rs
+++ b/crates/entry/src/batch/intake.rs
@@ -1,4 +1,4 @@
-//! Takes jobs in.
+//! Accepts submitted jobs.
 
 use std::{sync::Arc, time::Duration};
 
@@ -30,38 +30,38 @@
     },
 };
 
-/// How often it's looked whether another sending of a job is stored.
-const TAKEN_TICK: Duration = Duration::from_millis(20);
+/// Poll interval while another submission of the same job is being stored.
+const KNOWN_POLL: Duration = Duration::from_millis(20);
 
-/// What storing a job came to.
+/// Outcome of storing a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum IntakeOutcome {
-    /// It is stored and ours.
-    Ours,
-    /// It was stored before.
+    /// The job is stored and owned by this gateway.
+    Owned,
+    /// The job was stored before.
     Known,
-    /// It surely isn't stored, and won't be.
+    /// The job is not stored and will not be.
     NotStored,
 }
 
-/// Why a job isn't taken in.
+/// Why a job is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum JobRefusal {
-    /// It can't be done before it is due; it may be if it comes after `wait`.
+    /// It cannot be done before its deadline. It may be accepted after `wait`.
     NoTime {
-        /// When to come back.
+        /// When the client should retry.
         wait: Duration,
     },
-    /// It doesn't fit under its route's limit.
+    /// It exceeds its route's limit on waiting tokens.
     OverLimit {
-        /// When to come back.
+        /// When the client should retry.
         wait: Duration,
     },
-    /// The store doesn't say whether it fits.
+    /// The store did not tell whether it is within the limit.
     LimitUnknown,
 }
 
-/// Takes a job in: the client is told that it's accepted only once it is stored.
+/// Accepts a submitted job. The client gets a 202 only once the job is stored.
 pub async fn accept_job(
     node: &Arc<EntryNode>,
     head: &RequestHead,
@@ -70,14 +70,16 @@
     account: &str,
     arrived: MonoTime,
 ) -> OwnAnswer {
-    let Some(id) = RequestTerms::decode(&head.headers).attempt.filter(|id| is_name(id)) else {
+    let Some(id) =
+        RequestTerms::decode(&head.headers).attempt.filter(|id| is_valid_object_name(id))
+    else {
         return answer(node, "-", "no_id", OwnAnswer::of(400), arrived);
     };
-    if is_taken(node, id, arrived).await {
+    if is_known_or_stored(node, id, arrived).await {
         return answer(node, id, "known", OwnAnswer::of(202), arrived);
     }
     if node.jobs().is_busy(id) {
-        // Another sending of it is being stored here: nobody can say yet that it isn't.
+        // Another submission of it is being stored here, with an unknown outcome so far.
         return answer(node, id, "store_unclear", OwnAnswer::of(504), arrived);
     }
     let Some(terms) = route.job_terms else {
@@ -105,17 +107,18 @@
         node.jobs().finish(id);
         return refuse(node, id, refusal, arrived).await;
     }
-    let (outcome, answered) = match store_patiently(node, spec, record, text.to_owned()).await {
-        Some(IntakeOutcome::Ours) => ("accepted", OwnAnswer::of(202)),
+    let (outcome, answered) = match store_within_deadline(node, spec, record, text.to_owned()).await
+    {
+        Some(IntakeOutcome::Owned) => ("accepted", OwnAnswer::of(202)),
         Some(IntakeOutcome::Known) => ("known", OwnAnswer::of(202)),
         Some(IntakeOutcome::NotStored) => ("store_unavailable", OwnAnswer::refused(RETRY_AFTER)),
-        // Not a refusal: nobody can say that it isn't stored.
+        // Not a refusal: the job may be stored.
         None => ("store_unclear", OwnAnswer::of(504)),
     };
     answer(node, id, outcome, answered, arrived)
 }
 
-/// Counts a job that is being taken in, if there is time for it and it fits under its route's limit.
+/// Reserves deadline capacity and limit tokens for a job, if both suffice.
 async fn admit(node: &EntryNode, route: &Route, spec: &Arc<JobSpec>) -> Result<(), JobRefusal> {
     deadline_admission::admit(node, route, spec).map_err(|wait| JobRefusal::NoTime { wait })?;
     let limit = WaitingLimit::of(route, &spec.account);
@@ -126,11 +129,11 @@
     }
 }
 
-/// Stores a job; `None` when that takes longer than a client waits.
+/// Stores a job. Returns `None` if that takes longer than a client waits.
 ///
-/// The storing outlives the client's patience: a job whose write got no answer may come to be stored,
-/// and then somebody must run it.
-async fn store_patiently(
+/// Storing continues after the client was answered: a job whose write got no answer may still
+/// become stored, and then a gateway must run it.
+async fn store_within_deadline(
     node: &Arc<EntryNode>,
     spec: Arc<JobSpec>,
     record: JobRecord,
@@ -147,13 +150,13 @@
     if let Ok(outcome) = timeout(STORING_QUIET, &mut storing).await {
         return Some(outcome);
     }
-    // Its client may send it again to a gateway that would refuse it.
+    // The client may submit the job again to a gateway that would refuse it.
     node.peers.broadcast(&PeerMessage::JobStoring(id));
     timeout(INTAKE_PATIENCE - STORING_QUIET, storing).await.ok()
 }
 
-/// Refuses a job, unless another gateway took it in before without our hearing of it: it runs then, and a
-/// refusal would say that it doesn't.
+/// Refuses a job, unless another gateway accepted it before without this one having heard of it.
+/// That job runs, so a refusal would be wrong.
 async fn refuse(node: &EntryNode, id: &str, refusal: JobRefusal, arrived: MonoTime) -> OwnAnswer {
     let (outcome, answered) = match (find_prior_submission(node, id).await, refusal) {
         (PriorJob::Accepted, _) => ("known", OwnAnswer::of(202)),
@@ -164,7 +167,7 @@
         (PriorJob::None, JobRefusal::LimitUnknown) => {
             ("limit_unknown", OwnAnswer::refused(RETRY_AFTER))
         }
-        // Not a refusal: nobody can say that it doesn't run.
+        // Not a refusal: the job may be running.
         (PriorJob::Unclear, _) => {
             ("unclear", OwnAnswer { status: 504, ..OwnAnswer::refused(RETRY_AFTER) })
         }
@@ -173,9 +176,9 @@
     answer(node, id, outcome, answered, arrived)
 }
 
-/// Whether the job is here already. While another sending of it is being stored, that one's outcome
-/// is waited for: it tells for both.
-async fn is_taken(node: &EntryNode, id: &str, arrived: MonoTime) -> bool {
+/// Whether the job is known here. While another submission of it is being stored, waits for its
+/// outcome, which holds for both.
+async fn is_known_or_stored(node: &EntryNode, id: &str, arrived: MonoTime) -> bool {
     loop {
         {
             let registry = node.jobs();
@@ -187,7 +190,7 @@
                 return false;
             }
         }
-        task::sleep(TAKEN_TICK).await;
+        task::sleep(KNOWN_POLL).await;
     }
 }
 
@@ -216,7 +219,7 @@
     }
 }
 
-/// Stores a job, for as long as its fate isn't clear.
+/// Stores a job, retrying until the outcome is certain.
 async fn store_job(
     node: Arc<EntryNode>,
     spec: Arc<JobSpec>,
@@ -224,17 +227,18 @@
     text: String,
 ) -> IntakeOutcome {
     let mut was_unclear = false;
-    // The write itself makes it ours; it may be another gateway's by the time the answer is read.
+    // The write itself makes this gateway the owner. Another one may have taken the job over by the
+    // time the answer is read.
     let asked = node.jobs().table.last_doubt();
     loop {
         match create_job(&node.store, &spec.id, &record, &text).await {
             Ok(true) => {
                 own_job(&node, spec, asked);
-                return IntakeOutcome::Ours;
+                return IntakeOutcome::Owned;
             }
             Ok(false) if was_unclear => {
-                // Likely our own write whose answer was lost; the record tells.
-                return settle(&node, spec, &record).await;
+                // Probably this gateway's own write whose answer was lost; the stored record tells.
+                return resolve_unclear_write(&node, spec, &record).await;
             }
             Ok(false) => return IntakeOutcome::Known,
             Err(StoreFailure::NotDone) if !was_unclear => return IntakeOutcome::NotStored,
@@ -246,8 +250,13 @@
     }
 }
 
-/// The job is stored, after a write whose answer was lost: it's ours if our record stands there.
-async fn settle(node: &Arc<EntryNode>, spec: Arc<JobSpec>, record: &JobRecord) -> IntakeOutcome {
+/// Resolves a job that is stored after a write whose answer was lost. This gateway owns it if the
+/// stored record names it.
+async fn resolve_unclear_write(
+    node: &Arc<EntryNode>,
+    spec: Arc<JobSpec>,
+    record: &JobRecord,
+) -> IntakeOutcome {
     let asked = node.jobs().table.last_doubt();
     let stored =
         until_answered(|| true, || read_job(&node.store, &spec.id, StoreCallCause::JobStored))
@@ -256,24 +265,25 @@
     if stored.is_none_or(|stored| stored.owner() != record.owner) {
         return IntakeOutcome::Known;
     }
-    // It may have been accepted and ended elsewhere while our answer was lost.
+    // It may have been accepted and ended elsewhere while the answer was lost.
     let is_ended =
         until_answered(|| true, || read_end(&node.store, &spec.id, StoreCallCause::JobStored))
             .await;
     if is_ended == Some(false) {
         own_job(node, spec, asked);
     }
-    IntakeOutcome::Ours
+    IntakeOutcome::Owned
 }
 
-/// Begins to run a job that is stored as ours, by an answer asked for under `asked`.
+/// Starts to run a job that the store shows as owned by this gateway. `asked` is the ownership
+/// generation at the time of the store call.
 fn own_job(node: &Arc<EntryNode>, spec: Arc<JobSpec>, asked: DoubtNumber) {
     let id = spec.id.clone();
     let items = spec.items.len();
     let mut owned = OwnedJob::new(spec, Vec::new(), node.clock.now());
     owned.confirm(asked);
-    // A copy for readers says nothing of the owner; another gateway's claim may be older than our answer, or
-    // newer: then the store is asked.
+    // A cached copy says nothing about the owner. Another gateway's claim may be older or newer
+    // than the store's answer, so the store is asked again.
     let is_claimed = {
         let mut registry = node.jobs();
         let is_claimed = registry.owner(&id).is_some();
@@ -312,8 +322,8 @@
     answer
 }
 
-/// Whether an id can name objects of the store.
-fn is_name(id: &str) -> bool {
+/// Whether an id is valid as part of an object name in the store.
+fn is_valid_object_name(id: &str) -> bool {
     let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
     (1..=128).contains(&id.len()) && id.bytes().all(plain)
 }
--- a/crates/entry/src/batch/job_registry.rs
+++ b/crates/entry/src/batch/job_registry.rs
@@ -1,4 +1,4 @@
-//! All that a gateway holds of jobs.
+//! A gateway's in-memory state of batch jobs.
 
 use std::time::Duration;
 
@@ -8,83 +8,85 @@
 
 use crate::batch::{job_cache::JobCache, prior_submission::LookupLimiter};
 
-/// Jobs whose progress is kept until they are taken over, at most: a gateway owns a dozen.
-const HANDED_JOBS: usize = 256;
+/// Maximum number of jobs for which handed-over progress is kept until a takeover. A gateway owns
+/// about a dozen jobs.
+const MAX_HANDED_OVER_JOBS: usize = 256;
 
-/// A job whose storing takes long may come to be stored for so long: its gateway tries until the store answers,
-/// and its client gives up within seconds.
-const STORING_SPAN: Duration = Duration::from_secs(60);
+/// How long a job reported as being stored at another gateway may still become stored. That gateway
+/// retries until the store answers; its client gives up within seconds.
+const STORING_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A run of an item that is under way.
+/// A run of an item in progress.
 #[derive(Debug)]
 pub struct ItemRunHandle {
-    /// The job.
+    /// Id of the job.
     pub job: String,
-    /// The target it runs at.
+    /// Id of the target that runs it.
     pub target: String,
-    /// Since when.
+    /// When the run began.
     pub since: MonoTime,
-    /// Closed to break it off.
+    /// Closing this channel cancels the run.
     pub cancel: Sender<()>,
 }
 
-/// A job's owner, as another gateway told.
+/// A job's owner, as reported by another gateway.
 #[derive(Debug)]
-struct ToldOwner {
-    /// The gateway.
+struct ReportedOwner {
     owner: String,
-    /// Since when all results are stored: the owner still answers readers, but nobody needs to take
-    /// over.
+    /// When all results were stored. The owner still answers readers, but the job needs no
+    /// takeover.
     closed_at: Option<MonoTime>,
 }
 
-/// Tokens of a job that is being taken in.
+/// Tokens reserved for a job that is being accepted.
 #[derive(Debug)]
 struct ReservedTokens {
     route: String,
     tokens: u64,
 }
 
-/// Work of a job that is being taken in.
+/// Estimated work of a job that is being accepted.
 #[derive(Debug)]
-struct ArrivingWork {
+struct PendingWork {
     route: String,
     work: DueWork,
 }
 
-/// All that a gateway holds of jobs.
+/// A gateway's in-memory state of batch jobs.
 #[derive(Debug, Default)]
 pub struct JobRegistry {
     /// Jobs that this gateway owns.
     pub table: JobBoard,
-    /// Results and bodies of jobs for readers.
+    /// Cached results and item bodies of jobs that this gateway does not own.
     pub cache: JobCache,
-    /// Runs under way, by number.
+    /// Item runs in progress, by run number.
     pub runs: FastMap<u64, ItemRunHandle>,
     next_run: u64,
-    /// Owners of jobs, as other gateways told.
-    owners: FastMap<String, ToldOwner>,
-    /// Jobs that were read in the store, and of which nothing was told here; since when that is known.
+    /// Owners of jobs, as reported by other gateways.
+    owners: FastMap<String, ReportedOwner>,
+    /// Jobs that were seen only in the store, without a report by any gateway, and when they were
+    /// seen.
     listed: FastMap<String, MonoTime>,
-    /// Jobs whose end is stored, and since when that is known here.
+    /// Jobs whose end is stored, and when this gateway learned of it.
     ended: FastMap<String, MonoTime>,
-    /// What stopping gateways held of their jobs. Invariant: at most [`HANDED_JOBS`] entries.
-    handed: FastMap<String, Vec<HeldProgress>>,
-    /// Jobs being taken in or over now.
+    /// Progress of jobs handed over by stopping gateways. Invariant: at most [`MAX_HANDED_OVER_JOBS`]
+    /// entries.
+    handed_over: FastMap<String, Vec<HeldProgress>>,
+    /// Jobs that a task is accepting or taking over.
     busy: FastSet<String>,
-    /// Jobs about whose owner the store is being asked for readers.
+    /// Jobs for which an ownership check in the store is in progress.
     checking: FastSet<String>,
-    /// Stored jobs that can't be read, with the revision that was told last.
+    /// Stored jobs that cannot be decoded, with the revision that was logged last.
     unreadable: FastMap<String, u64>,
-    /// Tokens of jobs being taken in, against their routes' limits, by job.
+    /// Tokens of jobs being accepted, counted against their routes' limits, by job.
     reserved: FastMap<String, ReservedTokens>,
-    /// Jobs whose storing takes long at another gateway, and since when that is known. Invariant: none is older
-    /// than [`STORING_SPAN`].
+    /// Jobs whose storing is delayed at another gateway, and when this was reported. Invariant:
+    /// none is older than [`STORING_TIMEOUT`].
     storing_elsewhere: FastMap<String, MonoTime>,
-    /// Looks in the store for jobs that are about to be refused.
+    /// Limits store lookups for jobs that are about to be refused.
     pub lookups: LookupLimiter,
-    /// Work of jobs being taken in, by job.
-    arriving: FastMap<String, ArrivingWork>,
+    /// Work of jobs being accepted, by job.
+    pending_work: FastMap<String, PendingWork>,
 }
 
 impl JobRegistry {
@@ -93,7 +95,7 @@
         self.table.get(job).is_some()
     }
 
-    /// Whether anything is known of the job.
+    /// Whether the job is known from any source: owned here, reported, listed or cached.
     pub fn is_known(&self, job: &str) -> bool {
         self.is_owned(job)
             || self.owners.contains_key(job)
@@ -101,7 +103,8 @@
             || self.cache.get(job).is_some()
     }
 
-    /// The account that sent the job, if that is known; empty for none.
+    /// The client account that submitted the job, or `None` if unknown. Empty for a job without an
+    /// account.
     pub fn account(&self, job: &str) -> Option<&str> {
         if let Some(owned) = self.table.get(job) {
             return Some(&owned.spec().account);
@@ -109,10 +112,11 @@
         self.cache.get(job)?.account.as_deref()
     }
 
-    /// Begins to run a job; false, and nothing begins, when its end is known or it's here already.
+    /// Starts to run a job. Returns false and changes nothing if the job has ended or is owned
+    /// already.
     ///
-    /// A job that was sent twice is stored twice at the same time while the store is slow. The second
-    /// one's outcome may come after the first one was accepted, run and ended.
+    /// While the store is slow, two submissions of one job may be stored at the same time, and the
+    /// second one's outcome may arrive after the job was accepted, run and ended.
     pub fn own_job(&mut self, job: OwnedJob) -> bool {
         let id = job.spec().id.clone();
         if self.is_ended(&id) || self.is_owned(&id) {
@@ -123,97 +127,98 @@
         true
     }
 
-    /// Jobs owned here that aren't closed.
+    /// Jobs owned here that are not closed.
     pub fn open_owned(&self) -> Vec<String> {
         let open = self.table.iter().filter(|job| !job.is_closed());
         open.map(|job| job.spec().id.clone()).collect()
     }
 
-    /// The job's owner, if another gateway told.
+    /// The job's owner, as reported by another gateway.
     pub fn owner(&self, job: &str) -> Option<&str> {
         self.owners.get(job).map(|told| told.owner.as_str())
     }
 
-    /// These jobs have that owner.
+    /// Records that `owner` owns these jobs.
     pub fn note_owner(&mut self, jobs: &[String], owner: &str) {
         for job in jobs {
-            let told = ToldOwner { owner: owner.to_owned(), closed_at: None };
+            let told = ReportedOwner { owner: owner.to_owned(), closed_at: None };
             self.owners.insert(job.clone(), told);
             self.storing_elsewhere.remove(job);
             self.listed.remove(job);
         }
     }
 
-    /// The store has this job.
+    /// Records that the store holds this job.
     pub fn note_listed(&mut self, job: &str, now: MonoTime) {
         if !self.is_known(job) {
             self.listed.insert(job.to_owned(), now);
         }
     }
 
-    /// Jobs that other gateways own, by owner, as far as they are open.
+    /// Open jobs that other gateways own, each with its owner.
     pub fn owned_elsewhere(&self) -> impl Iterator<Item = (&str, &str)> {
         let open = self.owners.iter().filter(|(_, told)| told.closed_at.is_none());
         open.map(|(job, told)| (job.as_str(), told.owner.as_str()))
     }
 
-    /// All results of the job are stored: nobody needs to own it any more.
+    /// Records that all results of the job are stored, so that it needs no owner any more.
     pub fn note_closed(&mut self, job: &str, now: MonoTime) {
         if let Some(told) = self.owners.get_mut(job) {
             told.closed_at.get_or_insert(now);
         }
-        self.handed.remove(job);
+        self.handed_over.remove(job);
     }
 
-    /// Marks a job as ended; false when it was already.
+    /// Marks a job as ended. Returns false if it was marked before.
     pub fn note_ended(&mut self, job: &str, now: MonoTime) -> bool {
         self.ended.insert(job.to_owned(), now).is_none()
     }
 
-    /// Forgets jobs that were closed or ended before `before`: nobody asks for them any more. Kept for
-    /// good they would take a gateway's memory within weeks.
+    /// Drops records of jobs that were closed or ended before `before`, which are not asked for any
+    /// more. Without this they would exhaust a gateway's memory within weeks.
     pub fn forget_done(&mut self, before: MonoTime) {
         self.ended.retain(|_, since| *since >= before);
         self.listed.retain(|_, since| *since >= before);
         self.owners.retain(|_, told| told.closed_at.is_none_or(|since| since >= before));
     }
 
-    /// Whether the job's end is known.
+    /// Whether the job is known to have ended.
     pub fn is_ended(&self, job: &str) -> bool {
         self.ended.contains_key(job)
     }
 
-    /// This gateway owns the job now.
+    /// Drops the reported owner and handed-over progress of a job that this gateway now owns.
     pub fn forget_owner(&mut self, job: &str) {
         self.owners.remove(job);
-        self.handed.remove(job);
+        self.handed_over.remove(job);
     }
 
-    /// Claims the question who owns a job; false when it's being asked already.
+    /// Marks an ownership check as started. Returns false if one is in progress.
     pub fn begin_check(&mut self, job: &str) -> bool {
         self.checking.insert(job.to_owned())
     }
 
-    /// The question who owns a job was answered or given up.
+    /// Marks an ownership check as finished, with or without an answer.
     pub fn end_check(&mut self, job: &str) {
         self.checking.remove(job);
     }
 
-    /// Claims the job for one task; false when another one has it.
+    /// Reserves the job for one task that accepts it or takes it over. Returns false if another
+    /// task has it.
     pub fn begin(&mut self, job: &str) -> bool {
         self.busy.insert(job.to_owned())
     }
 
-    /// The task is done with the job.
+    /// Ends the task's reservation of the job, and of its tokens and work.
     pub fn finish(&mut self, job: &str) {
         self.busy.remove(job);
         self.reserved.remove(job);
-        self.arriving.remove(job);
+        self.pending_work.remove(job);
     }
 
-    /// Another gateway is storing the job, and doesn't know yet what becomes of it.
+    /// Records that another gateway is storing the job with an unknown outcome.
     pub fn note_storing_elsewhere(&mut self, job: &str, now: MonoTime) {
-        self.storing_elsewhere.retain(|_, since| now.since(*since) < STORING_SPAN);
+        self.storing_elsewhere.retain(|_, since| now.since(*since) < STORING_TIMEOUT);
         self.storing_elsewhere.insert(job.to_owned(), now);
     }
 
@@ -222,32 +227,34 @@
         self.storing_elsewhere.contains_key(job)
     }
 
-    /// Counts the work of a job that is being taken in, until the task is done.
-    pub fn note_arriving(&mut self, job: &str, route: &str, work: DueWork) {
+    /// Counts the work of a job that is being accepted, until [`Self::finish`].
+    pub fn note_pending_work(&mut self, job: &str, route: &str, work: DueWork) {
         let route = route.to_owned();
-        self.arriving.insert(job.to_owned(), ArrivingWork { route, work });
+        self.pending_work.insert(job.to_owned(), PendingWork { route, work });
     }
 
-    /// What waits here to be done in time, of jobs owned and of those being taken in, with each job's route.
+    /// Outstanding work with its deadlines, each with its job's route: of owned jobs and of jobs
+    /// being accepted.
     pub fn works(&self, now: MonoTime) -> Vec<(&str, DueWork)> {
         let mut works = self.table.works(now);
-        let arriving = self.arriving.iter().filter(|(job, _)| !self.is_owned(job));
+        let arriving = self.pending_work.iter().filter(|(job, _)| !self.is_owned(job));
         works.extend(arriving.map(|(_, arriving)| (arriving.route.as_str(), arriving.work)));
         works
     }
 
-    /// Counts a job that is being taken in against its route's limit, until the task is done.
+    /// Counts the tokens of a job that is being accepted against its route's limit, until
+    /// [`Self::finish`].
     pub fn reserve(&mut self, job: &str, route: &str, tokens: u64) {
         let reserved = ReservedTokens { route: route.to_owned(), tokens };
         self.reserved.insert(job.to_owned(), reserved);
     }
 
-    /// A job counts no longer as one that is being taken in or over.
+    /// Stops counting the tokens of a job that is being accepted or taken over.
     pub fn unreserve(&mut self, job: &str) {
         self.reserved.remove(job);
     }
 
-    /// Tokens here that count against a route's limit: of jobs owned and of those being taken in.
+    /// Tokens counted here against a route's limit: of owned jobs and of jobs being accepted.
     pub fn limit_tokens(&self, route: &str) -> u64 {
         let reserved = self.reserved.values().filter(|reserved| reserved.route == route);
         reserved.fold(self.table.waiting_tokens(route), |sum, reserved| {
@@ -255,43 +262,45 @@
         })
     }
 
-    /// A stored job can't be read as it is at `revision`; whether that is news.
+    /// Records that a stored job cannot be decoded at `revision`. Returns whether this revision is
+    /// new.
     pub fn note_unreadable(&mut self, job: &str, revision: u64) -> bool {
         self.unreadable.insert(job.to_owned(), revision) != Some(revision)
     }
 
-    /// Whether a task takes the job in or over now.
+    /// Whether a task is accepting the job or taking it over.
     pub fn is_busy(&self, job: &str) -> bool {
         self.busy.contains(job)
     }
 
-    /// Keeps what a stopping gateway held of a job, until somebody takes the job over.
+    /// Keeps the progress of a job that a stopping gateway handed over, until the job is taken
+    /// over.
     pub fn keep_progress(&mut self, job: &str, items: Vec<HeldProgress>) {
-        if self.handed.len() < HANDED_JOBS {
-            self.handed.insert(job.to_owned(), items);
+        if self.handed_over.len() < MAX_HANDED_OVER_JOBS {
+            self.handed_over.insert(job.to_owned(), items);
         }
     }
 
-    /// What a stopping gateway held of a job.
+    /// Removes and returns the progress of a job that a stopping gateway handed over.
     pub fn take_progress(&mut self, job: &str) -> Vec<HeldProgress> {
-        self.handed.remove(job).unwrap_or_default()
+        self.handed_over.remove(job).unwrap_or_default()
     }
 
-    /// Counts a run; its number.
+    /// Registers a run and returns its number.
     pub fn add_run(&mut self, handle: ItemRunHandle) -> u64 {
         self.next_run += 1;
         self.runs.insert(self.next_run, handle);
         self.next_run
     }
 
-    /// Breaks off every run of the job.
+    /// Cancels every run of the job.
     pub fn cancel_runs(&mut self, job: &str) {
         for run in self.runs.values().filter(|run| run.job == job) {
             run.cancel.close();
         }
     }
 
-    /// Breaks off every run at one start of a target; how many.
+    /// Cancels every run at one instance of a target. Returns how many.
     pub fn cancel_runs_at(&mut self, target: &str) -> usize {
         let mut cancelled = 0;
         for run in self.runs.values().filter(|run| run.target == target) {
@@ -301,8 +310,8 @@
         cancelled
     }
 
-    /// Another gateway owns the job: nothing of it runs or is stored here any more. Its results so
-    /// far stay for readers.
+    /// Stops running and storing a job that another gateway owns. Its results so far are cached for
+    /// readers.
     pub fn give_up_job(&mut self, job: &str) {
         self.cancel_runs(job);
         if let Some(owned) = self.table.remove(job) {
@@ -310,8 +319,8 @@
         }
     }
 
-    /// Moves a job that needs no owner any more to the copies for readers. The list of one that was
-    /// ended may still grow by a write that is under way.
+    /// Moves a job that needs no owner any more to the cache. The result list of a job that was
+    /// ended may still grow by a write in flight, so it is cached as incomplete.
     pub fn retire_job(&mut self, job: &str) {
         self.cancel_runs(job);
         if let Some(owned) = self.table.remove(job) {
@@ -320,7 +329,7 @@
         }
     }
 
-    /// Bytes of jobs held, about.
+    /// Approximate bytes of the jobs held.
     pub fn weight(&self) -> usize {
         self.table.iter().map(|job| job.spec().weight()).sum()
     }
--- a/crates/entry/src/batch/limit_registry.rs
+++ b/crates/entry/src/batch/limit_registry.rs
@@ -1,4 +1,4 @@
-//! This gateway's part in every limit on waiting jobs.
+//! A gateway's state of every limit on waiting tokens.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -7,22 +7,22 @@
 use notch_relay::prelude::*;
 use notch_types::prelude::*;
 
-/// This gateway's part in every limit.
+/// A gateway's state of every limit.
 #[derive(Debug, Default)]
 pub struct LimitRegistry {
     holders: Mutex<FastMap<String, ShareHolder>>,
     drains: Mutex<FastMap<String, DrainRate>>,
     counts: Mutex<FastMap<String, CountPace>>,
-    /// Told when room under a limit was used up by a job.
+    /// Notified when a job used up some of a limit.
     pub used: Event,
-    /// One share is changed at a time: each change begins with what the one before wrote.
+    /// Serializes changes of shares: each change starts from the table that the previous one wrote.
     pub turn: TurnMutex<()>,
-    /// One task at a time asks the other gateways what they hold.
+    /// Serializes requests to the other gateways to release their shares.
     pub asking: TurnMutex<()>,
 }
 
 impl LimitRegistry {
-    /// Tokens of a route ended here at `now`.
+    /// Records that tokens of a route ended here at `now`.
     pub fn note_ended(&self, route: &str, tokens: u64, now: MonoTime) {
         let mut drains = self.drains.lock().unwrap_or_else(PoisonError::into_inner);
         drains.entry(route.to_owned()).or_default().note(tokens, now);
@@ -34,12 +34,12 @@
         drains.get(route).map_or(0.0, |drain| drain.per_second(now))
     }
 
-    /// All gateways are about to be asked what they use of a limit.
+    /// Records that all gateways are about to be asked how much of a limit they use.
     pub fn note_asked(&self, route: &str, now: MonoTime) {
         self.counts().entry(route.to_owned()).or_default().note_asked(now);
     }
 
-    /// They were asked.
+    /// Records the result of asking all gateways.
     pub fn note_count(&self, route: &str, count: RoomCount) {
         self.counts().entry(route.to_owned()).or_default().note_count(count);
     }
@@ -49,7 +49,7 @@
         self.counts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Routes of whose limits or ends something is known.
+    /// Routes for which any state is held.
     pub fn known_routes(&self) -> FastSet<String> {
         let drains = self.drains.lock().unwrap_or_else(PoisonError::into_inner);
         let mut known: FastSet<String> = drains.keys().cloned().collect();
@@ -59,7 +59,7 @@
         known
     }
 
-    /// Forgets a route; whether anything was known of it.
+    /// Drops the state of a route. Returns whether there was any.
     pub fn forget(&self, route: &str) -> bool {
         let had_part = self.holders().remove(route).is_some();
         self.counts().remove(route);
@@ -67,7 +67,7 @@
         drains.remove(route).is_some() || had_part
     }
 
-    /// This gateway's part in each limit, by its route's name.
+    /// This gateway's share of each limit, by its route's name.
     pub fn holders(&self) -> MutexGuard<'_, FastMap<String, ShareHolder>> {
         self.holders.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/entry/src/batch/limits.rs
+++ b/crates/entry/src/batch/limits.rs
@@ -1,9 +1,9 @@
-//! Keeps the limits on waiting tokens together with the other gateways.
+//! Enforces limits on waiting tokens together with the other gateways.
 //!
-//! What is lent of a limit, and to whom, is one object of the store; a gateway admits jobs within its
-//! share without a call. When a limit is used up the others are asked to give back what they don't
-//! use, so a job is refused only if it doesn't fit; in a burst refusals rest on the last answers for a
-//! moment.
+//! One store object per limit records the share of each gateway. A gateway admits jobs within its
+//! share without a store call. When a limit is used up, the other gateways are asked to release
+//! their unused shares, so a job is refused only if it really exceeds the limit. In a burst,
+//! refusals are based on the last answers for a short time.
 
 use std::{sync::Arc, time::Duration};
 
@@ -29,24 +29,24 @@
     },
 };
 
-/// Kind of the shares of limits, each object named after its route.
+/// Kind of the objects that hold the shares of a limit. Each object is named after its route.
 pub const SHARE_KIND: &str = "notch-limit-shares";
 
-/// What became of a job that counts against a limit.
+/// Outcome of counting a job against a limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimitOutcome {
-    /// It fits, and is counted.
+    /// It is within the limit, and counted.
     Reserved,
-    /// It doesn't fit now.
+    /// It exceeds the limit now.
     Full {
-        /// When it may.
+        /// When the client should retry.
         wait: Duration,
     },
-    /// The store doesn't say.
+    /// The store did not tell.
     Unknown,
 }
 
-/// Counts a job that is being taken in against its route's limit, if it fits.
+/// Counts a job that is being accepted against its route's limit, if it is within it.
 pub async fn reserve(
     node: &EntryNode,
     limit: &WaitingLimit,
@@ -57,7 +57,7 @@
         node.jobs().reserve(job, &limit.name, tokens);
         return LimitOutcome::Reserved;
     }
-    let reserving = decide(node, limit, job, tokens);
+    let reserving = try_reserve(node, limit, job, tokens);
     let outcome = timeout(LIMIT_PATIENCE, reserving).await.unwrap_or(LimitOutcome::Unknown);
     node.limits.used.notify(usize::MAX);
     if outcome != LimitOutcome::Reserved {
@@ -79,13 +79,18 @@
     outcome
 }
 
-/// Only a write waits for its turn: what is held is used, and what doesn't fit is found out, while
-/// another write is under way.
-async fn decide(node: &EntryNode, limit: &WaitingLimit, job: &str, tokens: u64) -> LimitOutcome {
+/// Decides whether a job is within the limit. Only writes are serialized: using the share that this
+/// gateway holds, and finding out that a job exceeds the limit, need not wait for another write.
+async fn try_reserve(
+    node: &EntryNode,
+    limit: &WaitingLimit,
+    job: &str,
+    tokens: u64,
+) -> LimitOutcome {
     let arrived = node.clock.mono();
     let mut asked: Option<ReclaimedShares> = None;
     for _ in 0..LIMIT_ROUNDS {
-        match take_held(node, limit, job, tokens) {
+        match use_held_share(node, limit, job, tokens) {
             ShareRoom::Held => return LimitOutcome::Reserved,
             ShareRoom::Free => match write_in_turn(node, limit, job, tokens).await {
                 ShareWrite::Done => return LimitOutcome::Reserved,
@@ -96,7 +101,8 @@
                 if let Some(wait) = refusal(node, limit, tokens, arrived) {
                     return LimitOutcome::Full { wait };
                 }
-                // What was given back counts only for the table that it was asked for.
+                // The released tokens are valid only for the revision of the table for which they
+                // were requested.
                 let revision = with_holder(node, &limit.name, |holder, _| holder.revision());
                 if let Some(asked) = asked.as_ref().filter(|asked| asked.revision == revision) {
                     return LimitOutcome::Full { wait: wait_for(missing, asked.per_second) };
@@ -112,7 +118,7 @@
     LimitOutcome::Unknown
 }
 
-/// When to come back, if the job is refused by the last count.
+/// When the client should retry, if the last count of the limit shows that the job exceeds it.
 fn refusal(
     node: &EntryNode,
     limit: &WaitingLimit,
@@ -124,8 +130,9 @@
     pace.refusal(tokens, limit.tokens, arrived, node.clock.mono())
 }
 
-/// Counts the job if it's within what is held here; whether it is, and what is missing.
-fn take_held(node: &EntryNode, limit: &WaitingLimit, job: &str, tokens: u64) -> ShareRoom {
+/// Counts the job if it fits in this gateway's share. Returns whether it does, and how much is
+/// missing.
+fn use_held_share(node: &EntryNode, limit: &WaitingLimit, job: &str, tokens: u64) -> ShareRoom {
     let is_in_touch = node.peers.hears_all(node.clock.mono());
     with_holder(node, &limit.name, |holder, registry| {
         let used = registry.limit_tokens(&limit.name);
@@ -137,15 +144,15 @@
     })
 }
 
-/// Writes a share that the job fits in, and counts it.
+/// Writes a share that covers the job, and counts the job.
 async fn write_in_turn(
     node: &EntryNode,
     limit: &WaitingLimit,
     job: &str,
     tokens: u64,
 ) -> ShareWrite {
-    let _turn = begin_turn(node, &limit.name).await;
-    match next_step(node, limit, job, tokens) {
+    let _turn = lock_shares(node, &limit.name).await;
+    match next_share_step(node, limit, job, tokens) {
         ShareStep::Granted => ShareWrite::Done,
         ShareStep::Write(proposal) => {
             let count_job = |registry: &mut JobRegistry| registry.reserve(job, &limit.name, tokens);
@@ -155,16 +162,16 @@
     }
 }
 
-/// Waits for the turn to change shares. A write that was given up by its task is no longer under way
-/// then: one that comes to be done changes the table's revision.
-async fn begin_turn<'a>(node: &'a EntryNode, route: &str) -> TurnGuard<'a, ()> {
+/// Waits for exclusive access to change shares. A write abandoned by the previous task no longer
+/// counts as in progress: if it takes effect after all, it changes the table's revision.
+async fn lock_shares<'a>(node: &'a EntryNode, route: &str) -> TurnGuard<'a, ()> {
     let turn = node.limits.turn.lock().await;
     with_holder(node, route, |holder, _| holder.not_written());
     turn
 }
 
-/// The next step, which is counted already if it's granted.
-fn next_step(node: &EntryNode, limit: &WaitingLimit, job: &str, tokens: u64) -> ShareStep {
+/// The next step for the job, which is counted already if the step is `Granted`.
+fn next_share_step(node: &EntryNode, limit: &WaitingLimit, job: &str, tokens: u64) -> ShareStep {
     let gateways = node.peers.known_count() as u64 + 1;
     let is_in_touch = node.peers.hears_all(node.clock.mono());
     with_holder(node, &limit.name, |holder, registry| {
@@ -177,17 +184,17 @@
     })
 }
 
-/// Writes a share that covers what counts here, jobs that are about to be taken over among it, whether
-/// or not they fit: they wait already.
+/// Writes a share that covers all tokens counted here, including jobs about to be taken over. These
+/// may exceed the limit, as they are waiting already.
 ///
 /// # Errors
-/// The store didn't answer: nothing may be taken over yet.
+/// The store did not answer: nothing may be taken over yet.
 pub async fn cover(node: &EntryNode, route: &str) -> Result<(), StoreFailure> {
     change(node, route, |holder, registry| holder.cover(registry.limit_tokens(route))).await
 }
 
-/// Work was taken over from these gateways: they hold that much less. Undone it only counts twice,
-/// until their shares lapse.
+/// Reduces the shares of gateways whose work was taken over. If that fails the tokens count twice
+/// until those shares lapse.
 pub async fn release(node: &EntryNode, route: &str, taken: &[(String, u64)]) {
     if change(node, route, |holder, _| holder.release(taken)).await.is_err() {
         node.log.warn("share_not_released", &[("route", &route)]);
@@ -199,7 +206,7 @@
     route: &str,
     propose: impl Fn(&mut ShareHolder, &JobRegistry) -> ShareProposal,
 ) -> Result<(), StoreFailure> {
-    let _turn = begin_turn(node, route).await;
+    let _turn = lock_shares(node, route).await;
     for _ in 0..LIMIT_ROUNDS {
         let proposal = with_holder(node, route, |holder, registry| propose(holder, registry));
         match write(node, route, proposal, |_| {}).await {
@@ -211,11 +218,11 @@
     Err(StoreFailure::NotDone)
 }
 
-/// Keeps room under every limit for the jobs that come next, until the process ends.
+/// Keeps some unused share under every limit for the jobs that come next, until the process ends.
 pub async fn maintain_headroom(node: Arc<EntryNode>) {
     loop {
         let listener = node.limits.used.listen();
-        // News, or the end of the pause: both lead to another look.
+        // Either an event or the timeout leads to another pass.
         let _ = timeout(ROOM_TICK, listener).await;
         let now = node.clock.mono();
         let is_able = node.store.outage().is_up() && node.peers.hears_all(now);
@@ -229,7 +236,8 @@
     }
 }
 
-/// The limits for which room is kept: of routes, or of the accounts that have sent jobs on them here.
+/// The limits for which unused share is kept: those of routes or, with client accounts, those of
+/// the accounts that have submitted jobs on a route here.
 fn limits_in_use(node: &EntryNode, routes: &RouteTable) -> Vec<WaitingLimit> {
     let limited = routes.routes().filter(|route| route.waiting_limit > 0);
     if routes.accounts().is_none() {
@@ -245,17 +253,17 @@
 }
 
 async fn top_up(node: &EntryNode, limit: &WaitingLimit) {
-    let _turn = begin_turn(node, &limit.name).await;
+    let _turn = lock_shares(node, &limit.name).await;
     let gateways = node.peers.known_count() as u64 + 1;
     let proposal = with_holder(node, &limit.name, |holder, registry| {
         holder.top_up(registry.limit_tokens(&limit.name), limit.tokens, gateways)
     });
     let Some(proposal) = proposal else { return };
-    // One that another gateway was faster than is tried again in the next turn.
+    // If another gateway's write came first, the next pass tries again.
     write(node, &limit.name, proposal, |_| {}).await;
 }
 
-/// The shares of every limit known here, for a gateway that has just come.
+/// The shares of every limit known here, for a gateway that has just connected.
 pub fn known_shares(node: &EntryNode) -> Vec<PeerMessage> {
     let holders = node.limits.holders();
     let known = holders.iter().filter_map(|(route, holder)| {
@@ -265,7 +273,7 @@
     known.collect()
 }
 
-/// Another gateway asks for what isn't used here; answers what is.
+/// Answers another gateway's request to release unused tokens with how many are still used.
 pub fn answer_ask(node: &EntryNode, vm: &VmName, call: u64, route: &str) {
     let kept = cede(node, route);
     let ended_per_second = node.limits.ended_per_second(route, node.clock.mono()) as u64;
@@ -273,20 +281,21 @@
     node.peers.send(vm, PeerMessage::ShareKept { call, holder, kept, ended_per_second });
 }
 
-/// Gives back what isn't used here. Also due when a job was lost to another gateway, which counts
-/// it from then on: its tokens are no room for others here.
+/// Releases the unused part of this gateway's share. Also called when a job was lost to another
+/// gateway, which counts its tokens from then on: they must not be used for other jobs here.
 pub fn cede(node: &EntryNode, route: &str) -> u64 {
     with_holder(node, route, |holder, registry| holder.cede(registry.limit_tokens(route)))
 }
 
-/// Another gateway has written shares.
+/// Applies shares that another gateway has written.
 pub fn apply_shares(node: &EntryNode, route: &str, revision: u64, table: ShareTable) {
     with_holder(node, route, |holder, _| holder.adopt(table, revision));
 }
 
-/// Forgets routes under which no job counts here; how many. What is lent to this gateway of such a one stays so in
-/// the store, and is given back when another one asks, as it isn't used. One whose share is being written
-/// is left for the next time.
+/// Drops the state of routes for which no job is counted here. Returns how many were dropped. The
+/// store still records this gateway's share of such a route; it is released when another gateway
+/// asks, as it is unused. Nothing is dropped while a share is being written; the next cleanup does
+/// it.
 pub fn forget(node: &EntryNode, routes: &[String]) -> usize {
     let Some(_turn) = node.limits.turn.try_lock() else { return 0 };
     let registry = node.jobs();
@@ -294,7 +303,7 @@
     unused.filter(|route| node.limits.forget(route)).count()
 }
 
-/// Works on this gateway's part in a limit; no task sees it between what is done here.
+/// Accesses this gateway's state of a limit together with the job registry, as one atomic step.
 pub(crate) fn with_holder<T>(
     node: &EntryNode,
     route: &str,
@@ -306,23 +315,22 @@
     work(holder, &mut registry)
 }
 
-fn tell_shares(node: &EntryNode, route: &str, revision: u64, table: ShareTable) {
+fn broadcast_shares(node: &EntryNode, route: &str, revision: u64, table: ShareTable) {
     node.metrics.count(Counter::Event("limit_shares_written"));
     node.peers.broadcast(&PeerMessage::Shares { limit: route.to_owned(), revision, table });
 }
 
-/// What became of a write of shares.
+/// Outcome of a write of shares.
 enum ShareWrite {
-    /// It was done, and the other gateways are told.
+    /// It was done, and the other gateways were told.
     Done,
-    /// Another gateway wrote before, or nobody knows whether ours was done: the table as it stands now
-    /// is known.
+    /// Another gateway wrote first, or the write's outcome is unknown. The current table was read.
     Changed,
-    /// The store doesn't answer.
+    /// The store did not answer.
     Unknown,
 }
 
-/// Writes shares. `on_done` sees what counts here in the same moment in which the share is in force.
+/// Writes shares. `on_done` runs under the same lock that puts the share in force.
 async fn write(
     node: &EntryNode,
     route: &str,
@@ -346,7 +354,7 @@
             holder.written(proposal, revision);
             on_done(registry);
         });
-        tell_shares(node, route, revision, table);
+        broadcast_shares(node, route, revision, table);
         return ShareWrite::Done;
     }
     with_holder(node, route, |holder, _| holder.not_written());
@@ -357,10 +365,10 @@
     if adopted { ShareWrite::Changed } else { ShareWrite::Unknown }
 }
 
-/// Reads the shares as the store holds them.
+/// Reads the shares from the store.
 ///
 /// # Errors
-/// The store doesn't tell them.
+/// The store did not answer, or not with a table of shares.
 pub(crate) async fn refresh(node: &EntryNode, route: &str) -> Result<(), StoreFailure> {
     let path = object_path(SHARE_KIND, &object_name(route));
     let wait = node.store.settings().call_timeout.min(LIMIT_CALL);
@@ -388,7 +396,7 @@
     }
 }
 
-/// The object's name: routes may have names that can't stand in a path.
+/// The object's name. A hash, as route names may contain characters that are not valid in a path.
 fn object_name(route: &str) -> String {
     format!("{:016x}", stable_hash64(&[route.as_bytes()]))
 }
--- a/crates/entry/src/batch/ownership.rs
+++ b/crates/entry/src/batch/ownership.rs
@@ -1,8 +1,9 @@
-//! Whether a job still is ours.
+//! Checks whether this gateway still owns its jobs.
 //!
-//! Belief of ownership ages: another gateway may take a job over whenever it hears nothing of this one.
-//! Each event after which that may have happened is a doubt with a number; this gateway is sure of a job
-//! only by an answer to a question asked after the last doubt, and while it hears every other gateway.
+//! Ownership can be lost without notice: another gateway may take a job over whenever it does not
+//! hear from this one. Each event after which that may have happened invalidates ownership and
+//! advances a generation number. Ownership is certain only if the store confirmed it by a read that
+//! started after the last such event, and while this gateway hears from every other one.
 
 use std::sync::{Arc, atomic::Ordering};
 
@@ -19,7 +20,7 @@
     store::{call_cause::StoreCallCause, reply::StoreFailure, retry::until_answered},
 };
 
-/// Whether the list of a job owned here surely has nothing beyond what is known here.
+/// Whether the result list known here of an owned job is certainly complete up to now.
 pub fn is_sure(node: &EntryNode, job: &str) -> bool {
     let now = node.clock.mono();
     if !is_in_touch(node, now) {
@@ -30,10 +31,12 @@
     registry.table.get(job).is_some_and(is_sure)
 }
 
-/// Any job that we own may have been taken over: a link came back, or a gateway wasn't heard for long.
+/// Invalidates the ownership of all jobs, as any may have been taken over: a link came back, or a
+/// gateway was silent for long.
 ///
-/// Which are still ours is asked when a reader needs it. Only where it was rather this gateway that nobody
-/// heard, all are checked at once, for it may be running what others run, too.
+/// The store is asked about a job when a reader needs it. Only if this gateway itself was cut off
+/// from most others are all jobs checked at once, as it may be running items that other gateways
+/// run too.
 pub fn doubt_all(node: &Arc<EntryNode>, cause: &'static str, silence: PeerSilence) {
     let mut registry = node.jobs();
     registry.table.doubt_all();
@@ -49,7 +52,7 @@
     }
 }
 
-/// This job may have been taken over: the store is asked at once.
+/// Invalidates the ownership of one job, and checks it in the store at once.
 pub fn doubt(node: &Arc<EntryNode>, job: &str, cause: &'static str) {
     node.jobs().table.doubt(job);
     node.log.info("ownership_doubted", &[("job", &job), ("cause", &cause)]);
@@ -57,35 +60,36 @@
     task::spawn(async move { verify(&node, &job).await });
 }
 
-/// Asks the store who owns a job, beside whatever goes on, unless that is being asked already.
+/// Checks in a separate task who owns a job, unless such a check is in progress.
 pub fn check_soon(node: &Arc<EntryNode>, job: &str) {
     if !node.jobs().begin_check(job) {
         return;
     }
     let (node, job) = (Arc::clone(node), job.to_owned());
     task::spawn(async move {
-        // A store that doesn't answer leaves the doubt.
+        // If the store does not answer, ownership stays unconfirmed.
         let _ = check(&node, &job).await;
         node.jobs().end_check(&job);
     });
 }
 
-/// Whether an answer of the store would end the doubt about a job: not while some gateway isn't heard, for
-/// it would be good for that moment only.
+/// Whether an answer by the store would confirm the ownership of a job. While some gateway is
+/// silent it would hold only for that moment.
 pub fn can_confirm(node: &EntryNode, job: &str) -> bool {
     let is_confirmed = node.jobs().table.get(job).is_none_or(OwnedJob::is_confirmed);
     !is_confirmed && is_in_touch(node, node.clock.mono())
 }
 
-/// Whether no other gateway can have taken a job over that this one was confirmed to own.
+/// Whether no other gateway can have taken over a job whose ownership was confirmed.
 fn is_in_touch(node: &EntryNode, now: MonoTime) -> bool {
     node.peers.knows_all(now) && node.peers.hears_all(now)
 }
 
-/// Checks every job that we run, once for all calls that come together.
+/// Checks the ownership of every job here, once for all calls within a short delay.
 ///
-/// A gateway that stood still, or was cut off, may have lost jobs to others that have ended them by
-/// now: they don't speak of them any more, and it would go on telling readers of its own list.
+/// A gateway that was suspended or cut off may have lost jobs to others that have ended them by
+/// now. Those no longer announce the jobs, so without this check it would keep answering readers
+/// from its own outdated list.
 pub async fn verify_all(node: &Arc<EntryNode>) {
     if node.is_verifying.swap(true, Ordering::AcqRel) {
         return;
@@ -98,10 +102,11 @@
     }
 }
 
-/// Asks the store who owns a job that we run, for as long as it takes, and tells the others if we do.
+/// Checks the ownership of a job in the store, retrying until it answers, and announces the job to
+/// the other gateways if it is still owned here.
 ///
-/// A gateway that was out of touch with the others may have lost a job without a word. Two that both
-/// run it waste places, and each would tell readers of its own view of the list.
+/// A gateway that was cut off may have lost a job without notice. Two gateways that both run it
+/// waste slots, and each would answer readers from its own list.
 pub async fn verify(node: &Arc<EntryNode>, job: &str) {
     let is_owned = || node.jobs().is_owned(job);
     let checking = until_answered(is_owned, || check(node, job));
@@ -116,13 +121,13 @@
     node.runner_wake.notify(usize::MAX);
 }
 
-/// Asks the store once who owns a job that we run, and gives it up if it's another gateway; whether it's
-/// ours.
+/// Asks the store once who owns a job, and gives the job up if another gateway does. Returns
+/// whether this gateway owns it.
 ///
 /// # Errors
-/// The store didn't answer.
+/// The store did not answer.
 pub async fn check(node: &EntryNode, job: &str) -> Result<bool, StoreFailure> {
-    // Read before the question goes out: what is doubted meanwhile stays in doubt.
+    // Read before the call, so that an invalidation during the call stays in force.
     let asked = node.jobs().table.last_doubt();
     let stored = read_job(&node.store, job, StoreCallCause::OwnershipChecked).await?;
     let owner = stored.as_ref().map_or("", |stored| stored.owner());
@@ -132,12 +137,12 @@
             owned.confirm(asked);
         }
     } else {
-        yield_job(node, job, owner);
+        relinquish_job(node, job, owner);
     }
     Ok(is_ours)
 }
 
-fn yield_job(node: &EntryNode, job: &str, owner: &str) {
+fn relinquish_job(node: &EntryNode, job: &str, owner: &str) {
     node.log.warn("job_lost", &[("job", &job), ("owner", &owner)]);
     let mut registry = node.jobs();
     let limit = registry.table.get(job).map(|owned| owned.spec().limit_name());
--- a/crates/entry/src/batch/retention.rs
+++ b/crates/entry/src/batch/retention.rs
@@ -1,7 +1,8 @@
-//! Deletes what the store holds of jobs whose results needn't be kept any longer.
+//! Deletes stored jobs whose retention time is over.
 //!
-//! Nothing in the store expires by itself: without this, each search for jobs without an owner would
-//! read every job there ever was. The gateways that follow the store share the jobs among them.
+//! Objects in the store do not expire by themselves: without this, each search for jobs without an
+//! owner would read every job ever accepted. The gateways that follow the store divide the jobs
+//! among themselves.
 
 use std::{sync::Arc, time::Duration};
 
@@ -23,32 +24,33 @@
 pub async fn delete_old_jobs(node: Arc<EntryNode>) {
     loop {
         task::sleep(jittered(RETENTION_TICK)).await;
-        forget_done_jobs(&node);
+        drop_done_jobs(&node);
         if node.watch.is_watching() && !node.stop.is_stopping() {
-            // A store that doesn't answer is asked again in the next turn.
+            // If the store does not answer, the next pass tries again.
             let _ = delete_once(&node).await;
         }
     }
 }
 
-fn forget_done_jobs(node: &EntryNode) {
+fn drop_done_jobs(node: &EntryNode) {
     let kept = node.store.settings().result_lifetime + RETENTION_MARGIN;
     node.jobs().forget_done(node.clock.mono() - kept);
 }
 
-/// Deletes the jobs that are due for it and for which this gateway comes first; how many.
+/// Deletes the expired jobs for which this gateway is the preferred successor. Returns how many
+/// were deleted.
 ///
 /// # Errors
-/// The store didn't answer.
+/// The store did not answer.
 pub async fn delete_once(node: &EntryNode) -> Result<usize, StoreFailure> {
     let kept = node.store.settings().result_lifetime + RETENTION_MARGIN;
     let jobs = list_jobs(node, StorePath::Direct, StoreCallCause::Retention).await?;
     let mut deleted = 0;
-    for job in jobs.iter().filter(|job| is_over(job, kept, node.clock.wall())) {
+    for job in jobs.iter().filter(|job| is_expired(job, kept, node.clock.wall())) {
         if !is_preferred_successor(node, &job.id) || node.jobs().is_owned(&job.id) {
             continue;
         }
-        // One that is open is kept, however old it is.
+        // An open job is kept regardless of its age.
         if !job.status.closed && !read_end(&node.store, &job.id, StoreCallCause::Retention).await? {
             continue;
         }
@@ -60,7 +62,7 @@
     Ok(deleted)
 }
 
-fn is_over(job: &StoredJob, kept: Duration, now: WallTime) -> bool {
+fn is_expired(job: &StoredJob, kept: Duration, now: WallTime) -> bool {
     let kept_ms = kept.as_millis() as u64;
     now.0.saturating_sub(job.record.accepted_at_ms) > kept_ms
 }
--- a/crates/entry/src/batch/share_reclaim.rs
+++ b/crates/entry/src/batch/share_reclaim.rs
@@ -1,4 +1,4 @@
-//! Asks the other gateways to give back what they don't use of a limit.
+//! Reclaims unused shares of a limit from the other gateways.
 
 use futures_util::future::join_all;
 use notch_messages::prelude::PeerMessage;
@@ -19,19 +19,19 @@
     store::{call_cause::StoreCallCause, feed::StorePath, reply::StoreFailure},
 };
 
-/// What the other gateways answered.
+/// What the other gateways released.
 pub(crate) struct ReclaimedShares {
-    /// Revision of the table for which they were asked.
+    /// Revision of the table of shares for which they were asked.
     pub(crate) revision: Option<u64>,
-    /// How much ends each second, at those that answered and here.
+    /// Tokens that end each second, at the gateways that answered and here.
     pub(crate) per_second: f64,
 }
 
-/// Reads the shares and asks all others, one task at a time; `None` when the task before has found out
-/// what `is_known` tells.
+/// Reads the shares and asks all other gateways to release theirs, one task at a time. Returns
+/// `None` if the previous task's result already decides the case, as `is_known` tells.
 ///
 /// # Errors
-/// The store doesn't tell the shares.
+/// The store did not tell the shares.
 pub(crate) async fn reclaim_in_turn(
     node: &EntryNode,
     limit: &WaitingLimit,
@@ -44,13 +44,14 @@
     node.limits.note_asked(&limit.name, node.clock.mono());
     refresh(node, &limit.name).await?;
     let asked_at = node.clock.mono();
-    let asked = ask_all(node, &limit.name).await;
-    drop_silent(node, &limit.name).await;
+    let asked = request_all(node, &limit.name).await;
+    release_silent_shares(node, &limit.name).await;
     note_count(node, limit, &asked, asked_at);
     Ok(Some(asked))
 }
 
-/// Notes what is free. A table that changed meanwhile may hold shares that nobody was asked for.
+/// Records how much of the limit is free. If the table changed meanwhile, it may hold shares that
+/// were not asked for, so nothing is recorded.
 fn note_count(node: &EntryNode, limit: &WaitingLimit, asked: &ReclaimedShares, asked_at: MonoTime) {
     let used = with_holder(node, &limit.name, |holder, registry| {
         let used = registry.limit_tokens(&limit.name);
@@ -63,10 +64,10 @@
     node.limits.note_count(&limit.name, count);
 }
 
-async fn ask_all(node: &EntryNode, route: &str) -> ReclaimedShares {
+async fn request_all(node: &EntryNode, route: &str) -> ReclaimedShares {
     let revision = with_holder(node, route, |holder, _| holder.revision());
     let gateways = node.peers.linked_vms();
-    let answers = join_all(gateways.iter().map(|vm| ask(node, vm, route))).await;
+    let answers = join_all(gateways.iter().map(|vm| request_release(node, vm, route))).await;
     let mut per_second = node.limits.ended_per_second(route, node.clock.mono());
     for answer in answers.into_iter().flatten() {
         per_second += answer.ended_per_second as f64;
@@ -75,7 +76,7 @@
     ReclaimedShares { revision, per_second }
 }
 
-async fn ask(node: &EntryNode, vm: &VmName, route: &str) -> Option<KeptShare> {
+async fn request_release(node: &EntryNode, vm: &VmName, route: &str) -> Option<KeptShare> {
     let send = |call| {
         node.metrics.count(Counter::Event("limit_shares_asked"));
         node.peers.send(vm, PeerMessage::ShareAsk { call, limit: route.to_owned() })
@@ -86,8 +87,8 @@
     }
 }
 
-/// Drops shares of gateways that are gone for long and own no open job any more.
-async fn drop_silent(node: &EntryNode, route: &str) {
+/// Releases the shares of gateways that have been gone for long and own no open job any more.
+async fn release_silent_shares(node: &EntryNode, route: &str) {
     let now = node.clock.mono();
     let is_alive = |holder: &str| node.liveness(holder, now) == OwnerLiveness::Alive;
     let (silent, revision) = with_holder(node, route, |holder, _| {
@@ -96,8 +97,8 @@
     if silent.is_empty() {
         return;
     }
-    // The list is newer than the table: jobs that others took over are in their shares there, or the
-    // table's revision is an old one by now.
+    // The list of jobs is newer than the table. If other gateways took jobs over, either the table
+    // already holds them in their shares or its revision is outdated by now.
     let Ok(jobs) = list_jobs(node, StorePath::Any, StoreCallCause::LimitShares).await else {
         return;
     };
--- a/crates/entry/src/batch/stored_jobs.rs
+++ b/crates/entry/src/batch/stored_jobs.rs
@@ -1,4 +1,4 @@
-//! All jobs that the store holds.
+//! Lists the jobs in the store.
 
 use notch_platform_wire::{prelude::StoreObject, store::ObjectMetadata};
 use notch_types::prelude::*;
@@ -13,8 +13,8 @@
     },
 };
 
-/// Lists every job. One that can't be read, as another writer may have left it, is logged once for
-/// each change of it and takes no other one with it.
+/// Lists every job. One that cannot be decoded, for example after a write by another program, is
+/// skipped and logged once per revision.
 ///
 /// # Errors
 /// The store did not answer, or not with a list.
@@ -28,13 +28,13 @@
     for object in &objects {
         match StoredJob::decode(object) {
             Some(job) => jobs.push(job),
-            None => refuse_job(node, object),
+            None => note_undecodable(node, object),
         }
     }
     Ok(jobs)
 }
 
-fn refuse_job(node: &EntryNode, object: &StoreObject) {
+fn note_undecodable(node: &EntryNode, object: &StoreObject) {
     let ObjectMetadata { name, revision } = &object.metadata;
     if node.jobs().note_unreadable(name, *revision) {
         node.log.error("stored_job_refused", &[("job", name), ("revision", revision)]);
--- a/crates/entry/src/batch/takeover.rs
+++ b/crates/entry/src/batch/takeover.rs
@@ -1,4 +1,4 @@
-//! Takes over jobs whose owner died or stopped.
+//! Takes over jobs whose owner failed or stopped.
 
 use std::sync::Arc;
 
@@ -20,7 +20,7 @@
     store::{call_cause::StoreCallCause, feed::StorePath, reply::StoreFailure},
 };
 
-/// Searches for jobs without an owner: once after the start, and whenever an owner is lost.
+/// Searches for jobs without a live owner: once after the start, and whenever an owner is lost.
 pub async fn watch_owners(node: Arc<EntryNode>) {
     task::sleep(ORPHANS_FIRST).await;
     let mut next_search = Some(node.clock.mono());
@@ -33,9 +33,10 @@
         }
         live = still;
         if next_search.is_some_and(|at| now >= at) && !node.stop.is_stopping() {
-            next_search = match take_orphans(&node).await {
+            next_search = match take_over_orphans(&node).await {
                 Ok(0) => None,
-                // Others are nearer to these, or the store is away: look again.
+                // Other gateways are preferred for these jobs, or the store does not answer: search
+                // again.
                 Ok(_) | Err(_) => Some(node.clock.mono() + ORPHANS_AGAIN),
             };
         }
@@ -43,18 +44,18 @@
     }
 }
 
-/// Whether a job that another gateway told of has lost its owner.
+/// Whether any job reported by another gateway has lost its owner.
 fn has_orphans(node: &EntryNode, now: MonoTime) -> bool {
     let registry = node.jobs();
     let open = registry.owned_elsewhere().filter(|(job, _)| !registry.is_ended(job));
-    // A gateway owns many jobs; each owner is asked for once.
+    // A gateway owns many jobs; its liveness is checked once.
     let owners: FastSet<&str> = open.map(|(_, owner)| owner).collect();
     owners.into_iter().any(|owner| node.liveness(owner, now) == OwnerLiveness::Gone)
 }
 
-/// Takes over jobs whose owner is gone and for which this gateway comes first among those alive;
-/// the number of jobs left to others or to time.
-async fn take_orphans(node: &Arc<EntryNode>) -> Result<usize, StoreFailure> {
+/// Takes over jobs whose owner is gone and for which this gateway is the preferred successor.
+/// Returns the number of jobs left to other gateways or to a later search.
+async fn take_over_orphans(node: &Arc<EntryNode>) -> Result<usize, StoreFailure> {
     let mut left = 0;
     let mut due = Vec::new();
     let asked = node.clock.mono();
@@ -75,8 +76,8 @@
             continue;
         }
         match node.liveness(&owner, now) {
-            // Ours by the store, and not here: the write that made it so got no answer. Nobody else
-            // will take it over.
+            // The store names this gateway as the owner, but the write that made it so got no
+            // answer. No other gateway will take the job over.
             OwnerLiveness::Alive if owner == node.owner => {}
             OwnerLiveness::Alive => continue,
             OwnerLiveness::Doubtful => {
@@ -92,13 +93,13 @@
         due.push(job);
     }
     node.peers.note_jobs_listed(asked);
-    take_all(node, due).await?;
+    take_over_all(node, due).await?;
     Ok(left)
 }
 
-/// Takes jobs over. Where their routes have a limit they are counted here before, and no longer at
-/// their former owners after: in between they count twice, but never not at all.
-async fn take_all(node: &Arc<EntryNode>, jobs: Vec<StoredJob>) -> Result<(), StoreFailure> {
+/// Takes jobs over. On routes with a limit, a job's tokens are counted here before the takeover and
+/// released from the former owner after it. In between they count twice, but are never uncounted.
+async fn take_over_all(node: &Arc<EntryNode>, jobs: Vec<StoredJob>) -> Result<(), StoreFailure> {
     let with_limit = limited_routes(node);
     let limited = jobs.iter().filter(|job| with_limit.contains(&job.record.route));
     let limited: Vec<(&StoredJob, String)> = limited.map(|job| (job, limit_of(job))).collect();
@@ -106,7 +107,7 @@
         node.jobs().reserve(&job.id, limit, job.record.limit_tokens);
     }
     let limits = limited.iter().map(|(_, limit)| limit.as_str()).collect();
-    let taken = take_covered(node, &jobs, &limits).await;
+    let taken = take_over_covered(node, &jobs, &limits).await;
     limited.iter().for_each(|(job, _)| node.jobs().unreserve(&job.id));
     let mut moved: FastMap<&str, Vec<(String, u64)>> = FastMap::default();
     for (job, limit) in &limited {
@@ -121,7 +122,7 @@
     taken
 }
 
-async fn take_covered(
+async fn take_over_covered(
     node: &Arc<EntryNode>,
     jobs: &[StoredJob],
     limits: &FastSet<&str>,
@@ -135,49 +136,49 @@
     Ok(())
 }
 
-/// Name of the limit that counts a job.
+/// Name of the limit against which a job counts.
 fn limit_of(job: &StoredJob) -> String {
     limit_name(&job.record.route, &job.record.account)
 }
 
-/// Names of the routes that limit what waits.
+/// Names of the routes that have a limit on waiting tokens.
 fn limited_routes(node: &EntryNode) -> FastSet<String> {
     let Some(table) = node.routes() else { return FastSet::default() };
     let limited = table.routes().filter(|route| route.waiting_limit > 0);
     limited.map(|route| route.name.clone()).collect()
 }
 
-/// Whether this gateway comes first for the job among those that take jobs over: so that two don't both
-/// read it.
+/// Whether this gateway is the preferred successor for the job among the gateways that may take it
+/// over. Prevents two gateways from both reading the job.
 pub fn is_preferred_successor(node: &EntryNode, job: &str) -> bool {
     let own = weight(job, &node.config.node.vm);
     node.peers.successor_vms().iter().all(|vm| weight(job, vm) < own)
 }
 
-/// The other gateway that comes first for the job among those that take jobs over.
+/// The other gateway that is the preferred successor for the job.
 pub fn preferred_successor(node: &EntryNode, job: &str) -> Option<VmName> {
     node.peers.successor_vms().into_iter().max_by_key(|vm| weight(job, vm))
 }
 
-/// Weight of a gateway for a job, the same everywhere.
+/// Rendezvous hash weight of a gateway for a job, the same on every gateway.
 fn weight(job: &str, vm: &VmName) -> u64 {
     stable_hash64(&[job.as_bytes(), vm.as_str().as_bytes()])
 }
 
-/// Takes one job over, unless another task here has it.
+/// Takes one job over, unless another task here is accepting it or taking it over.
 ///
 /// # Errors
-/// The store didn't answer: the job may be this gateway's by now, and is taken again later.
+/// The store did not answer. This gateway may own the job by now; the takeover is retried later.
 pub async fn take_over(node: &Arc<EntryNode>, job: &StoredJob) -> Result<(), StoreFailure> {
     if !node.jobs().begin(&job.id) {
         return Ok(());
     }
-    let taken = take_begun(node, job).await;
+    let taken = take_over_reserved(node, job).await;
     node.jobs().finish(&job.id);
     taken
 }
 
-async fn take_begun(node: &Arc<EntryNode>, job: &StoredJob) -> Result<(), StoreFailure> {
+async fn take_over_reserved(node: &Arc<EntryNode>, job: &StoredJob) -> Result<(), StoreFailure> {
     let id = &job.id;
     if job.owner() != node.owner && !take_job(&node.store, job, &node.owner).await? {
         return Ok(());
@@ -188,8 +189,9 @@
         node.jobs().note_ended(id, node.clock.mono());
         return Ok(());
     }
-    // Who took the job over before our fence stood may extend the list before it; whoever does it later
-    // finds the fence. So only an answer to a question asked now tells that the list is ours.
+    // A gateway that took the job over before the fence was written may still extend the list
+    // before the fence; one that does so later finds the fence. So only a read that starts after
+    // the fence was written proves ownership of the list.
     let asked = node.jobs().table.last_doubt();
     let owner = read_job(&node.store, id, StoreCallCause::JobTakenOver)
         .await?
