--- a/crates/entry/src/batch/bodies.rs
+++ b/crates/entry/src/batch/bodies.rs
@@ -1,8 +1,8 @@
-//! Reads of items' bodies, at any gateway.
+//! Reads of item bodies at any gateway.
 //!
-//! A gateway that doesn't hold the job asks its owner over a link, for the body alone. The store would
-//! give the whole job with all its items: some hundred kilobytes for each reader and gateway, which are
-//! sent, decoded and then mostly not asked for again.
+//! A gateway that does not hold the job asks its owner for the one body over a link. The store only
+//! has the whole job with all its items: some hundred kilobytes for each reader and gateway to
+//! transfer and decode, mostly for a single read.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 use crate::{
     batch::{
         read_latency::{ReadKind, ReadSource},
-        reads::{ReadAnswer, learn_job, note_read, unsure},
+        reads::{ReadAnswer, load_job, note_read, unsure},
     },
     constants::BODY_ASK,
     front::answer::OwnAnswer,
@@ -21,57 +21,61 @@
     peers::{calls::CallEnd, table::ToldBody},
 };
 
-/// Bytes of a body in an answer to another gateway, at most: well under a link's largest message.
-const TOLD_BYTES: usize = 1 << 20;
+/// Maximum bytes of a body in an answer to another gateway, well below a link's largest message.
+const MAX_PEER_BODY_BYTES: usize = 1 << 20;
 
 /// Answers a read of an item's body.
 pub async fn read_item(node: &Arc<EntryNode>, job: &str, account: &str, item: &str) -> OwnAnswer {
     let began = node.clock.mono();
-    let read = find_item(node, job, account, item).await;
+    let read = locate_item(node, job, account, item).await;
     note_read(node, ReadKind::Body, read, began)
 }
 
-/// What is accepted of a job never changes, so whoever holds it may tell it.
-async fn find_item(node: &Arc<EntryNode>, job: &str, account: &str, item: &str) -> ReadAnswer {
-    if let Some(read) = held_item(node, job, account, item) {
+/// Finds an item's body. An accepted job never changes, so any copy of it is valid.
+async fn locate_item(node: &Arc<EntryNode>, job: &str, account: &str, item: &str) -> ReadAnswer {
+    if let Some(read) = local_item(node, job, account, item) {
         return read;
     }
-    if let Some(told) = ask_owner(node, job, account, item).await {
-        return ReadAnswer { answer: body_answer(told.as_deref()), source: ReadSource::Told };
+    if let Some(answer_body) = ask_owner(node, job, account, item).await {
+        return ReadAnswer {
+            answer: body_answer(answer_body.as_deref()),
+            source: ReadSource::Peer,
+        };
     }
     let mut copy = node.jobs().cache.get(job).cloned().unwrap_or_default();
-    match learn_job(node, job, &mut copy).await {
+    match load_job(node, job, &mut copy).await {
         Ok(true) => {}
-        Ok(false) => return ReadAnswer::no_such(),
+        Ok(false) => return ReadAnswer::no_such_job(),
         Err(_) => return unsure(node, job, "store_unavailable"),
     }
-    let is_of_another = copy.is_of_another(account);
+    let belongs_to_other_account = copy.belongs_to_other_account(account);
     let answer = body_answer(copy.spec.as_deref().and_then(|spec| body_of(spec, item)));
     node.jobs().cache.keep(job, copy);
-    if is_of_another {
-        return ReadAnswer::no_such();
+    if belongs_to_other_account {
+        return ReadAnswer::no_such_job();
     }
     ReadAnswer { answer, source: ReadSource::Store }
 }
 
-fn held_item(node: &EntryNode, job: &str, account: &str, item: &str) -> Option<ReadAnswer> {
+fn local_item(node: &EntryNode, job: &str, account: &str, item: &str) -> Option<ReadAnswer> {
     let registry = node.jobs();
     if let Some(owned) = registry.table.get(job) {
         if !may_access(&owned.spec().account, account) {
-            return Some(ReadAnswer::no_such());
+            return Some(ReadAnswer::no_such_job());
         }
         let answer = body_answer(body_of(owned.spec(), item));
         return Some(ReadAnswer { answer, source: ReadSource::Owner });
     }
     let copy = registry.cache.get(job)?;
-    if copy.is_of_another(account) {
-        return Some(ReadAnswer::no_such());
+    if copy.belongs_to_other_account(account) {
+        return Some(ReadAnswer::no_such_job());
     }
     let spec = copy.spec.as_deref()?;
     Some(ReadAnswer { answer: body_answer(body_of(spec, item)), source: ReadSource::Copy })
 }
 
-/// Asks the job's owner: the body, or that the job has no such item. `None` when it doesn't say.
+/// Asks the job's owner. Returns the body, `Some(None)` if the job has no such item, or `None` if
+/// the owner gave no answer.
 async fn ask_owner(
     node: &EntryNode,
     job: &str,
@@ -87,12 +91,12 @@
     let question = |call| PeerMessage::BodyAsk { call, job, item, account };
     let send = |call| node.peers.send_to_owner(&owner, question(call));
     match node.peers.body_calls.ask(send, BODY_ASK).await {
-        CallEnd::Answered(told) if told.is_known => Some(told.body),
+        CallEnd::Answered(answer_body) if answer_body.is_known => Some(answer_body.body),
         CallEnd::Answered(_) | CallEnd::NotSent | CallEnd::Unanswered => None,
     }
 }
 
-/// Answers another gateway's question for a body.
+/// Answers another gateway's request for a body.
 pub fn answer_peer(
     node: &EntryNode,
     peer: &VmName,
@@ -100,7 +104,7 @@
     (job, item): (&str, &str),
     account: &str,
 ) {
-    let told = {
+    let answer_body = {
         let registry = node.jobs();
         let spec = registry.table.get(job).map(OwnedJob::spec);
         spec.map(|spec| {
@@ -108,13 +112,14 @@
             body.map(|body| Payload::from(body.to_vec()))
         })
     };
-    // One that is too large for a message is left to the store.
-    let told = told.filter(|body| body.as_ref().is_none_or(|body| body.len() <= TOLD_BYTES));
-    let is_known = told.is_some();
-    node.peers.send(peer, PeerMessage::BodyTold { call, is_known, body: told.flatten() });
+    // A body that is too large for a message has to be read from the store.
+    let answer_body = answer_body
+        .filter(|body| body.as_ref().is_none_or(|body| body.len() <= MAX_PEER_BODY_BYTES));
+    let is_known = answer_body.is_some();
+    node.peers.send(peer, PeerMessage::BodyTold { call, is_known, body: answer_body.flatten() });
 }
 
-/// Takes another gateway's answer.
+/// Delivers another gateway's answer to the waiting read.
 pub fn receive_body(node: &EntryNode, call: u64, is_known: bool, body: Option<Payload>) {
     node.peers.body_calls.answer(call, ToldBody { is_known, body });
 }
--- a/crates/entry/src/batch/deadline_admission.rs
+++ b/crates/entry/src/batch/deadline_admission.rs
@@ -1,4 +1,4 @@
-//! Refuses jobs that can't be done before they are due, when they come.
+//! Refuses jobs on arrival that cannot be done before their deadline.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,8 +7,8 @@
 
 use crate::{batch::job_registry::JobRegistry, constants::DEMAND_UNHEARD, node::EntryNode};
 
-/// Refuses whatever comes on a route while not even one item could be done in time: when to come back. Asked before
-/// a job is decoded, as in a burst each comes again and again.
+/// Refuses any job on a route for which not even one item could be done in time. Returns when to
+/// retry. Called before a job is decoded, as in a burst refused jobs come back again and again.
 pub fn refusal(node: &EntryNode, route: &Route, due: Duration) -> Option<Duration> {
     let now = node.clock.mono();
     let registry = node.jobs();
@@ -16,11 +16,11 @@
     refusal_of(node, &registry, route, item, now)
 }
 
-/// Counts a job as one that is being taken in, if it can be done in time beside what was accepted before;
-/// else when it should come back.
+/// Admits a job if it can be done in time beside those accepted before, and counts its work.
+/// Otherwise returns when to retry.
 ///
-/// What goes wrong without it: in a burst of many times the usual jobs all are accepted, nearly all end late
-/// or never, and readers can't get through them. One would notice `item_run_started` with a `due_ms` far
+/// Without this, in a burst of many times the usual load all jobs are accepted, nearly all end late
+/// or never, and readers are not served. The symptom is `item_run_started` with a `due_ms` far
 /// below 0.
 pub fn admit(node: &EntryNode, route: &Route, spec: &Arc<JobSpec>) -> Result<(), Duration> {
     let now = node.clock.mono();
@@ -50,7 +50,7 @@
         let places = intake.places(service) * capacity_share(node, now);
         let job = DueWork { work: job.work.mul_f64(part), ..job };
         let wait = IntakeForecast { demand: &demand, places }.refusal(job, now)?;
-        // A line for each would be thousands a second.
+        // One line per refusal would be thousands a second.
         if intake.may_log(now) {
             node.log.info(
                 "jobs_without_time",
@@ -71,21 +71,21 @@
     })
 }
 
-/// The part of the places that this gateway may fill: all of them, as it knows what waits at the others. One that has
-/// just started doesn't yet, and would take in all that comes.
+/// The share of the slots that this gateway may fill: all of them, as it knows the work waiting at
+/// the other gateways. One that has just started does not know it yet, and would accept too much.
 fn capacity_share(node: &EntryNode, now: MonoTime) -> f64 {
     let is_new = now.since(MonoTime::default()) < DEMAND_UNHEARD && !node.peers.hears_all(now);
     if is_new { 1.0 / (node.peers.known_count() + 1) as f64 } else { 1.0 }
 }
 
-/// What waits for a service here, of jobs owned and of those being taken in.
+/// Work waiting here for a service: of owned jobs and of jobs being accepted.
 fn local_demand(node: &EntryNode, works: &[(&str, DueWork)], service: &str) -> WorkDemand {
     let Some(routes) = node.routes() else { return WorkDemand::default() };
     let part_of = |name: &str| {
         let route = routes.routes().find(|route| route.name == name)?;
         route.parts().find(|(known, _)| *known == service).map(|(_, part)| part)
     };
-    // Jobs of one route mostly come together: each is looked up once.
+    // Jobs of one route mostly follow each other, so each route is looked up once.
     let mut parts: FastMap<&str, Option<f64>> = FastMap::default();
     let works = works.iter().filter_map(|(route, work)| {
         let part = (*parts.entry(*route).or_insert_with(|| part_of(route)))?;
@@ -94,7 +94,7 @@
     WorkDemand::new(works.collect())
 }
 
-/// What waits here for each service that a batch route names.
+/// Work waiting here for each service that a batch route names.
 pub fn local_demands(node: &EntryNode, now: MonoTime) -> FastMap<String, WorkDemand> {
     let Some(routes) = node.routes() else { return FastMap::default() };
     let registry = node.jobs();
--- a/crates/entry/src/batch/item_run.rs
+++ b/crates/entry/src/batch/item_run.rs
@@ -1,4 +1,4 @@
-//! One run of a job's item at a target.
+//! Runs one item of a job at a target.
 
 use std::{sync::Arc, time::Duration};
 
@@ -20,10 +20,11 @@
     online::lease::TargetLease,
 };
 
-/// A target stops work at the time it's given; a run of an item has no such end of its own.
-const ITEM_TIME: Duration = Duration::from_secs(60);
+/// Time limit passed to the target, which stops work when it is over. A run of an item has no
+/// deadline of its own.
+const ITEM_TIME_LIMIT: Duration = Duration::from_secs(60);
 
-/// What a run brought so far.
+/// What a run has produced so far.
 #[derive(Debug, Default)]
 struct RunProgress {
     last_event: Option<u64>,
@@ -31,7 +32,7 @@
     events: u64,
 }
 
-/// Runs an item, and tells its job how it ended. `cancel` is closed to break the run off.
+/// Runs an item and reports the outcome to its job. Closing `cancel` interrupts the run.
 pub async fn run_item(
     node: Arc<EntryNode>,
     run: u64,
@@ -112,7 +113,7 @@
     }
 }
 
-/// The status of a whole answer.
+/// Exchanges the request with the target. Returns the status of a complete answer.
 async fn run_at(
     node: &EntryNode,
     start: &ItemStart,
@@ -124,7 +125,7 @@
     let account = Some(start.account.as_str());
     let terms = RelayTerms {
         target: &choice.name,
-        left: ITEM_TIME,
+        left: ITEM_TIME_LIMIT,
         last_event: progress.last_event,
         account: account.filter(|account| has_accounts || !account.is_empty()),
     };
--- a/crates/entry/src/batch/job_cache.rs
+++ b/crates/entry/src/batch/job_cache.rs
@@ -1,4 +1,4 @@
-//! Results and bodies of jobs that this gateway doesn't own, kept for readers.
+//! Cache of results and item bodies of jobs that this gateway does not own.
 
 use std::sync::Arc;
 
@@ -7,33 +7,34 @@
 
 use crate::constants::COPY_BYTES;
 
-/// What is held of one job.
+/// What is cached of one job.
 #[derive(Debug, Clone, Default)]
 pub struct CachedJob {
-    /// Items of the job; `None` when not known yet.
+    /// Number of items of the job, if known.
     pub total: Option<usize>,
     /// Stored results from the first on. Invariant: a prefix of the job's list.
     pub lines: Vec<Arc<ResultLine>>,
-    /// Results up to the end of an object of the store: only from there on can more be read from
-    /// it. Invariant: at most the number of `lines`.
+    /// Number of results up to the last known end of a store object. The store can be read only
+    /// from there on. Invariant: at most the number of `lines`.
     pub chunk_end: usize,
     /// The job as accepted, if a reader needed it.
     pub spec: Option<Arc<JobSpec>>,
-    /// Whether the list can't grow any more.
+    /// Whether the result list is final.
     pub is_closed: bool,
-    /// The account that sent the job, if known; empty for none. Whoever else reads is shown nothing of it.
+    /// The account that submitted the job, if known; empty for none. Other accounts may not read
+    /// it.
     pub account: Option<String>,
-    /// Its owner, if the store told.
+    /// The job's owner, if read from the store.
     pub owner: Option<String>,
-    /// When the store was asked for more last.
+    /// When the store was last asked for more results.
     pub asked_at: Option<MonoTime>,
-    /// Order of use; the lowest goes first.
+    /// Sequence number of the last use; the lowest is evicted first.
     used: u64,
 }
 
 impl CachedJob {
-    /// Appends lines that stand at `position` and on; those held already are passed over. With
-    /// `is_all` the last one ends an object of the store.
+    /// Appends lines that start at `position`, skipping those held already. With `is_all` the last
+    /// one is at the end of a store object.
     pub fn extend(&mut self, position: usize, lines: &[Arc<ResultLine>], is_all: bool) {
         let held = self.lines.len();
         if position > held {
@@ -46,13 +47,13 @@
         }
     }
 
-    /// Whether every result is here.
+    /// Whether all results are held.
     pub fn is_whole(&self) -> bool {
         self.is_closed || self.total.is_some_and(|total| self.lines.len() >= total)
     }
 
-    /// Whether `account` is surely not the one that sent the job.
-    pub fn is_of_another(&self, account: &str) -> bool {
+    /// Whether the job is known to belong to another account than `account`.
+    pub fn belongs_to_other_account(&self, account: &str) -> bool {
         self.account.as_deref().is_some_and(|owner| !may_access(owner, account))
     }
 
@@ -62,7 +63,8 @@
     }
 }
 
-/// Copies, the ones used last within a bound of memory. What was dropped is read from the store.
+/// A least recently used cache with a bound on its memory. Evicted jobs are read from the store
+/// again.
 #[derive(Debug, Default)]
 pub struct JobCache {
     entries: FastMap<String, CachedJob>,
@@ -70,13 +72,13 @@
 }
 
 impl JobCache {
-    /// A copy.
+    /// The cached copy of a job.
     pub fn get(&self, job: &str) -> Option<&CachedJob> {
         self.entries.get(job)
     }
 
-    /// Keeps what a reader gathered of a job. What is held already and longer stays; then old copies
-    /// over the bound are dropped.
+    /// Merges what a reader gathered of a job. The longer list of results is kept. Then evicts the
+    /// least recently used jobs beyond the memory bound.
     pub fn keep(&mut self, job: &str, gathered: CachedJob) {
         self.uses += 1;
         let copy = self.entries.entry(job.to_owned()).or_default();
@@ -91,11 +93,11 @@
             copy.lines = gathered.lines;
         }
         copy.chunk_end = copy.chunk_end.max(gathered.chunk_end);
-        self.trim();
+        self.evict();
     }
 
-    /// Keeps what an owned job holds.
-    pub fn take_owned(&mut self, job: &OwnedJob, is_closed: bool) {
+    /// Caches the results of an owned job.
+    pub fn insert_owned(&mut self, job: &OwnedJob, is_closed: bool) {
         let lines = job.results().to_vec();
         let gathered = CachedJob {
             total: Some(job.spec().items.len()),
@@ -109,7 +111,7 @@
         self.keep(&job.spec().id, gathered);
     }
 
-    fn trim(&mut self) {
+    fn evict(&mut self) {
         let mut weight: usize = self.entries.values().map(CachedJob::weight).sum();
         while weight > COPY_BYTES && self.entries.len() > 1 {
             let oldest = self.entries.iter().min_by_key(|(_, copy)| copy.used);
--- a/crates/entry/src/batch/job_registry.rs
+++ b/crates/entry/src/batch/job_registry.rs
@@ -315,7 +315,7 @@
     pub fn give_up_job(&mut self, job: &str) {
         self.cancel_runs(job);
         if let Some(owned) = self.table.remove(job) {
-            self.cache.take_owned(&owned, false);
+            self.cache.insert_owned(&owned, false);
         }
     }
 
@@ -325,7 +325,7 @@
         self.cancel_runs(job);
         if let Some(owned) = self.table.remove(job) {
             let is_whole = owned.results().len() >= owned.spec().items.len();
-            self.cache.take_owned(&owned, is_whole);
+            self.cache.insert_owned(&owned, is_whole);
         }
     }
 
--- a/crates/entry/src/batch/prior_submission.rs
+++ b/crates/entry/src/batch/prior_submission.rs
@@ -1,8 +1,9 @@
-//! Whether a job that is about to be refused was taken in before.
+//! Finds out whether a job that is about to be refused was accepted before.
 //!
-//! A client sends a job again, at another gateway, when it got no answer. A refusal says that nothing of the job
-//! runs, so it must not come after another gateway has taken it in. In a burst each refused job comes back
-//! a dozen times: asked of the store each time, that alone would be more calls than the store takes.
+//! A client that got no answer submits the job again at another gateway. A refusal tells the client
+//! that nothing of the job runs, so it must not follow an acceptance by another gateway. In a burst
+//! each refused job comes back a dozen times; lookup each up in the store would alone exceed the
+//! call rate that the store sustains.
 
 use std::time::Duration;
 
@@ -16,49 +17,50 @@
     store::{call_cause::StoreCallCause, reply::StoreFailure},
 };
 
-/// Looks in the store that all gateways together make each second for jobs that are about to be refused: a
-/// twentieth of the reads that it takes for everything. Usual refusals are all looked up.
-const LOOKS_EACH_SECOND: usize = 100;
-/// Span in which so many may be made.
-const LOOKS_SPAN: Duration = Duration::from_secs(1);
+/// Store lookups per second that all gateways together make for jobs about to be refused: a
+/// twentieth of all reads that the store sustains. Under usual load every refusal is looked up.
+const LOOKUPS_PER_SECOND: usize = 100;
+/// Length of the window in which lookups are counted.
+const LOOKUP_WINDOW: Duration = Duration::from_secs(1);
 
-/// What is known of a job that came.
+/// What is known of a submitted job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PriorJob {
-    /// It was taken in.
+    /// It was accepted before.
     Accepted,
-    /// It wasn't, and no gateway is about to.
+    /// It was not, and no gateway is storing it.
     None,
-    /// Nobody can say now.
+    /// It cannot be determined now.
     Unclear,
-    /// The store doesn't answer.
+    /// The store did not answer.
     StoreUnavailable,
 }
 
-/// Counts looks.
+/// Limits the rate of lookups.
 #[derive(Debug, Default)]
 pub struct LookupLimiter {
     since: MonoTime,
-    looks: usize,
+    lookups: usize,
 }
 
 impl LookupLimiter {
-    /// Whether one of `gateways` may make one more now; counts it.
+    /// Counts a lookup. Returns whether one of `gateways` gateways may make it now.
     pub fn take(&mut self, gateways: usize, now: MonoTime) -> bool {
-        if now.since(self.since) >= LOOKS_SPAN {
-            *self = Self { since: now, looks: 0 };
+        if now.since(self.since) >= LOOKUP_WINDOW {
+            *self = Self { since: now, lookups: 0 };
         }
-        self.looks += 1;
-        self.looks <= (LOOKS_EACH_SECOND / gateways.max(1)).max(1)
+        self.lookups += 1;
+        self.lookups <= (LOOKUPS_PER_SECOND / gateways.max(1)).max(1)
     }
 }
 
-/// Looks for a job that nothing is known of here: in the store, as often as it bears, and beyond that in what the
-/// other gateways told.
+/// Finds an earlier submission of a job that is unknown here: in the store, within the rate limit,
+/// and beyond it by what the other gateways reported.
 ///
-/// A gateway tells the others of each job before its client is answered, and of each one whose storing takes
-/// long, so one that has heard all others for longer than a client tries knows the jobs that can come again;
-/// so does one that has read all jobs since it missed somebody.
+/// A gateway reports each job before its client is answered, and each job whose storing is delayed.
+/// So a gateway that has heard from all others for longer than a client retries knows every job
+/// that may be submitted again; so does one that has listed all jobs since it last missed a
+/// gateway.
 pub async fn find_prior_submission(node: &EntryNode, job: &str) -> PriorJob {
     let now = node.clock.mono();
     let gateways = node.peers.known_count() + 1;
--- a/crates/entry/src/batch/read_latency.rs
+++ b/crates/entry/src/batch/read_latency.rs
@@ -1,4 +1,4 @@
-//! How long reads of jobs take, by what was read and by whose word it was answered.
+//! Latency of job reads, by what was read and by the source of the answer.
 
 use std::{
     fmt::{self, Display},
@@ -11,43 +11,43 @@
 /// What a client read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadKind {
-    /// Results, at once.
+    /// Results, without waiting.
     Results,
-    /// Results, or the news that there are some: such a read may be held for as long as it says.
+    /// Results, or a notice that there are some. Such a read is held for up to the requested time.
     HeldResults,
     /// An item's body.
     Body,
 }
 
-/// By whose word a read was answered.
+/// The source of the answer to a read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadSource {
-    /// This gateway's own: it owns the job.
+    /// This gateway, which owns the job.
     Owner,
-    /// This gateway's copy, read before.
+    /// This gateway's cache.
     Copy,
-    /// The owner's, over a link.
-    Told,
-    /// The store's.
+    /// The owner, over a link.
+    Peer,
+    /// The store.
     Store,
-    /// Nobody's: no such job, or nobody can say.
+    /// No source: there is no such job, or nobody can tell.
     Nobody,
 }
 
 impl ReadSource {
-    /// The stable name in logs.
+    /// Stable name for logs.
     pub fn code(self) -> &'static str {
         match self {
             Self::Owner => "owner",
             Self::Copy => "copy",
-            Self::Told => "told",
+            Self::Peer => "told",
             Self::Store => "store",
             Self::Nobody => "nobody",
         }
     }
 }
 
-/// Reads of one kind, answered by one word.
+/// Latency of reads of one kind that were answered from one source.
 #[derive(Debug, Clone, Copy, Default)]
 struct ReadLatency {
     count: u32,
@@ -63,37 +63,39 @@
     }
 }
 
-/// Names of the tallies in a line of the log, by kind and source.
+/// Field names in the log event, by kind and source.
 const NAMES: [[&str; 5]; 3] = [
     ["results_owner", "results_copy", "results_told", "results_store", "results_nobody"],
     ["held_owner", "held_copy", "held_told", "held_store", "held_nobody"],
     ["body_owner", "body_copy", "body_told", "body_store", "body_nobody"],
 ];
 
-/// Reads since they were logged last.
+/// Latency of reads since the last log event.
 #[derive(Debug, Default)]
 pub struct ReadLatencies {
-    tallies: Mutex<[[ReadLatency; 5]; 3]>,
+    latencies: Mutex<[[ReadLatency; 5]; 3]>,
 }
 
 impl ReadLatencies {
-    /// A read took so long.
+    /// Records the duration of a read.
     pub fn note(&self, kind: ReadKind, source: ReadSource, took: Duration) {
-        let mut tallies = self.tallies.lock().unwrap_or_else(PoisonError::into_inner);
-        let tally = &mut tallies[kind as usize][source as usize];
-        tally.count += 1;
-        tally.took += took;
-        tally.longest = tally.longest.max(took);
+        let mut latencies = self.latencies.lock().unwrap_or_else(PoisonError::into_inner);
+        let latency = &mut latencies[kind as usize][source as usize];
+        latency.count += 1;
+        latency.took += took;
+        latency.longest = latency.longest.max(took);
     }
 
-    /// Logs the reads since the last time, if there were any: one line whatever their number.
+    /// Logs and resets the latencies, in one event. Logs nothing if there were no reads.
     pub fn log(&self, log: &NodeLog) {
-        let tallies =
-            std::mem::take(&mut *self.tallies.lock().unwrap_or_else(PoisonError::into_inner));
+        let latencies =
+            std::mem::take(&mut *self.latencies.lock().unwrap_or_else(PoisonError::into_inner));
         let mut fields: Vec<(&'static str, &dyn Display)> = Vec::new();
-        for (names, tallies) in NAMES.iter().zip(&tallies) {
-            for (name, tally) in names.iter().zip(tallies).filter(|(_, tally)| tally.count > 0) {
-                fields.push((*name, tally));
+        for (names, latencies) in NAMES.iter().zip(&latencies) {
+            for (name, latency) in
+                names.iter().zip(latencies).filter(|(_, latency)| latency.count > 0)
+            {
+                fields.push((*name, latency));
             }
         }
         if !fields.is_empty() {
--- a/crates/entry/src/batch/reads.rs
+++ b/crates/entry/src/batch/reads.rs
@@ -1,4 +1,4 @@
-//! Reads of jobs: results and bodies, at any gateway.
+//! Reads of job results at any gateway.
 
 use std::{sync::Arc, time::Duration};
 
@@ -23,51 +23,51 @@
     store::{call_cause::StoreCallCause, reply::StoreFailure},
 };
 
-/// Bytes of results in an answer to another gateway, at most: well under a link's largest message.
-const NEWS_BYTES: usize = 1 << 20;
+/// Maximum bytes of results in an answer to another gateway, well below a link's largest message.
+const MAX_PEER_RESULT_BYTES: usize = 1 << 20;
 
-/// Results of a job from a position on, as this gateway knows them.
-struct KnownLines {
-    /// Items of the job; 0 when nothing is known of it.
+/// Results of a job from some position on, as known here.
+struct KnownResults {
+    /// Number of items of the job; 0 if the job is unknown.
     total: usize,
     lines: Vec<Arc<ResultLine>>,
-    /// Whether nothing follows them.
+    /// Whether nothing follows them so far.
     is_sure: bool,
-    /// Whether they end where an object of the store ends.
+    /// Whether they end at the end of a store object.
     ends_object: bool,
 }
 
-impl KnownLines {
-    /// Nothing is known of the job, or may be told.
-    fn nothing() -> Self {
+impl KnownResults {
+    /// The job is unknown, or may not be shown.
+    fn unknown() -> Self {
         Self { total: 0, lines: Vec::new(), is_sure: false, ends_object: false }
     }
 }
 
-/// What this gateway can say of a job's results.
+/// What this gateway knows about a job's results.
 enum ReadState {
-    /// There are results from the position asked for on, or the list has ended.
-    Known(KnownLines),
-    /// Nothing new, as far as the job's owner, who is this gateway, knows.
-    OwnedNothing { total: usize, held: usize },
+    /// There are results after the requested position, or the list is complete.
+    Known(KnownResults),
+    /// This gateway owns the job and knows nothing new.
+    NothingNew { total: usize, held: usize },
     /// Another gateway or the store has to be asked.
     Ask(CachedJob),
 }
 
-/// An answer to a read, and by whose word it is one.
+/// An answer to a read, and where it came from.
 pub(super) struct ReadAnswer {
     pub(super) answer: OwnAnswer,
     pub(super) source: ReadSource,
 }
 
 impl ReadAnswer {
-    /// There is no such job.
-    pub(super) fn no_such() -> Self {
+    /// The answer for a job that does not exist.
+    pub(super) fn no_such_job() -> Self {
         Self { answer: OwnAnswer::of(404), source: ReadSource::Nobody }
     }
 }
 
-/// Answers a read of results from `after` on, which may wait for one.
+/// Answers a read of the results from `after` on. With a `wait` it is held until there is one.
 pub async fn read_results(
     node: &Arc<EntryNode>,
     job: &str,
@@ -76,12 +76,12 @@
     wait: Duration,
 ) -> OwnAnswer {
     let began = node.clock.mono();
-    let read = find_results(node, job, account, after, wait).await;
+    let read = locate_results(node, job, account, after, wait).await;
     let kind = if wait.is_zero() { ReadKind::Results } else { ReadKind::HeldResults };
     note_read(node, kind, read, began)
 }
 
-/// Notes how long a read took; gives its answer.
+/// Records how long a read took, and returns its answer.
 pub(super) fn note_read(
     node: &EntryNode,
     kind: ReadKind,
@@ -96,18 +96,19 @@
     read.answer
 }
 
-async fn find_results(
+async fn locate_results(
     node: &Arc<EntryNode>,
     job: &str,
     account: &str,
     after: usize,
     wait: Duration,
 ) -> ReadAnswer {
-    if is_of_another(node, job, account) {
-        return ReadAnswer::no_such();
+    if belongs_to_other_account(node, job, account) {
+        return ReadAnswer::no_such_job();
     }
     let until = node.clock.mono() + wait;
-    // In doubt the store is asked who owns the job; its answer serves all readers until the next doubt.
+    // While ownership is unconfirmed, the store is asked who owns the job. Its answer serves all
+    // readers until the next invalidation.
     let mut was_checked = false;
     loop {
         let listener = node.job_news.listen();
@@ -119,35 +120,35 @@
                 let source = if is_owned { ReadSource::Owner } else { ReadSource::Copy };
                 return ReadAnswer { answer, source };
             }
-            ReadState::OwnedNothing { total, held } => {
+            ReadState::NothingNew { total, held } => {
                 if !left.is_zero() {
-                    // News or the end of the wait: both lead to another look.
+                    // Either an event or the timeout leads to another pass.
                     let _ = timeout(left, listener).await;
                     continue;
                 }
                 if ownership::is_sure(node, job) {
-                    return told_answer(node, job, total, after, &[], ReadSource::Owner);
+                    return answer_from(node, job, total, after, &[], ReadSource::Owner);
                 }
                 if !was_checked && ownership::can_confirm(node, job) {
                     was_checked = true;
-                    // A store that doesn't answer leaves the doubt.
+                    // If the store does not answer, ownership stays unconfirmed.
                     let _ = ownership::check(node, job).await;
-                    // The list may have grown meanwhile, and the job may be another gateway's.
+                    // The list may have grown meanwhile, and another gateway may own the job.
                     continue;
                 }
-                // A gateway out of touch may have taken the job over and listed more, or a write of
-                // our own may have been done that was not answered.
+                // A gateway that is out of reach may have taken the job over and stored more
+                // results, or a write by this gateway may have taken effect without an answer.
                 return match stored_results(&node.store, job, held, StoreCallCause::ResultsRead)
                     .await
                 {
                     Ok(list) => {
                         let new = list.lines.get(after.saturating_sub(held)..).unwrap_or_default();
-                        told_answer(node, job, total, after, new, ReadSource::Store)
+                        answer_from(node, job, total, after, new, ReadSource::Store)
                     }
                     Err(_) => unsure(node, job, "store_unavailable"),
                 };
             }
-            ReadState::Ask(copy) if !left.is_zero() && waits_for_owner(node, job, &copy) => {
+            ReadState::Ask(copy) if !left.is_zero() && should_wait_for_owner(node, job, &copy) => {
                 let _ = timeout(left, listener).await;
             }
             ReadState::Ask(copy) => return ask(node, job, account, after, left, copy).await,
@@ -155,24 +156,24 @@
     }
 }
 
-/// Whether nobody can be asked who extends the job's list, and the store was asked a moment ago: a read that may
-/// be held waits for the next owner to tell.
+/// Whether a held read should wait for the job's next owner instead of asking the store: no live
+/// owner is known, and the store was asked a moment ago.
 ///
-/// Load pattern: all gateways were killed; until their jobs are taken over, each reader would ask the store
-/// twice a second.
-fn waits_for_owner(node: &EntryNode, job: &str, copy: &CachedJob) -> bool {
+/// Without this, after all gateways were killed, each reader would ask the store twice a second
+/// until the jobs are taken over.
+fn should_wait_for_owner(node: &EntryNode, job: &str, copy: &CachedJob) -> bool {
     let now = node.clock.mono();
     let is_recent = copy.asked_at.is_some_and(|asked| now.since(asked) < STORE_ASK_PAUSE);
     if !is_recent {
         return false;
     }
-    let told = node.jobs().owner(job).map(str::to_owned);
-    let owner = told.or_else(|| copy.owner.clone());
+    let reported = node.jobs().owner(job).map(str::to_owned);
+    let owner = reported.or_else(|| copy.owner.clone());
     owner.is_none_or(|owner| node.liveness(&owner, now) != OwnerLiveness::Alive)
 }
 
-/// Whether the job is known to be of another account.
-fn is_of_another(node: &EntryNode, job: &str, account: &str) -> bool {
+/// Whether the job is known to belong to another account.
+fn belongs_to_other_account(node: &EntryNode, job: &str, account: &str) -> bool {
     node.jobs().account(job).is_some_and(|owner| !may_access(owner, account))
 }
 
@@ -182,27 +183,27 @@
         let total = owned.spec().items.len();
         let lines = owned.results().get(after..).unwrap_or_default();
         if lines.is_empty() && !owned.is_closed() {
-            return ReadState::OwnedNothing { total, held: owned.results().len() };
+            return ReadState::NothingNew { total, held: owned.results().len() };
         }
         let lines = lines.to_vec();
         let is_sure = owned.results().len() >= total;
-        return ReadState::Known(KnownLines { total, lines, is_sure, ends_object: true });
+        return ReadState::Known(KnownResults { total, lines, is_sure, ends_object: true });
     }
     let copy = registry.cache.get(job).cloned().unwrap_or_default();
     match copy.total {
         Some(total) if after < copy.lines.len() || copy.is_whole() => {
             let lines = copy.lines.get(after..).unwrap_or_default().to_vec();
             let ends_object = copy.chunk_end >= copy.lines.len();
-            ReadState::Known(KnownLines { total, lines, is_sure: copy.is_whole(), ends_object })
+            ReadState::Known(KnownResults { total, lines, is_sure: copy.is_whole(), ends_object })
         }
         _ => ReadState::Ask(copy),
     }
 }
 
-/// Asks the job's owner, and the store when there is none to ask.
+/// Asks the job's owner, or the store if there is no owner to ask.
 ///
-/// What comes is joined to the copy taken before, not to the one held now: that may have been
-/// dropped for want of memory meanwhile, and lines joined to nothing would leave a gap.
+/// The answer is appended to the copy taken before the call, not to the cached one: that one may
+/// have been evicted meanwhile, and appending to an empty list would leave a gap.
 async fn ask(
     node: &Arc<EntryNode>,
     job: &str,
@@ -211,37 +212,37 @@
     left: Duration,
     mut copy: CachedJob,
 ) -> ReadAnswer {
-    let told = node.jobs().owner(job).map(str::to_owned);
+    let reported = node.jobs().owner(job).map(str::to_owned);
     let mut is_sure = false;
-    if let Some(owner) = told.or_else(|| copy.owner.clone()) {
+    if let Some(owner) = reported.or_else(|| copy.owner.clone()) {
         is_sure = ask_owner(node, &owner, (job, account), &mut copy, left.min(ASK_WAIT)).await;
     }
     let has_news = copy.total.is_some() && copy.lines.len() > after;
     if !is_sure && !has_news {
         match ask_store(node, job, &mut copy).await {
             Ok(true) => {}
-            Ok(false) => return ReadAnswer::no_such(),
+            Ok(false) => return ReadAnswer::no_such_job(),
             Err(_) => return unsure(node, job, "store_unavailable"),
         }
     }
-    if copy.is_of_another(account) {
-        return ReadAnswer::no_such();
+    if copy.belongs_to_other_account(account) {
+        return ReadAnswer::no_such_job();
     }
     let Some(total) = copy.total else { return unsure(node, job, "no_total") };
     let lines = copy.lines.get(after..).unwrap_or_default();
-    let source = if is_sure || has_news { ReadSource::Told } else { ReadSource::Store };
-    let answer = told_answer(node, job, total, after, lines, source);
+    let source = if is_sure || has_news { ReadSource::Peer } else { ReadSource::Store };
+    let answer = answer_from(node, job, total, after, lines, source);
     node.jobs().cache.keep(job, copy);
     answer
 }
 
-/// Brings the copy of a job up to what the store holds; false when there is no such job.
+/// Updates the copy of a job from the store. Returns false if there is no such job.
 async fn ask_store(
     node: &EntryNode,
     job: &str,
     copy: &mut CachedJob,
 ) -> Result<bool, StoreFailure> {
-    if copy.total.is_none() && !learn_job(node, job, copy).await? {
+    if copy.total.is_none() && !load_job(node, job, copy).await? {
         return Ok(false);
     }
     copy.asked_at = Some(node.clock.mono());
@@ -251,8 +252,8 @@
     Ok(true)
 }
 
-/// Reads a job from the store: its owner and its items; false when there is none.
-pub(super) async fn learn_job(
+/// Reads a job's owner and items from the store. Returns false if there is no such job.
+pub(super) async fn load_job(
     node: &EntryNode,
     job: &str,
     copy: &mut CachedJob,
@@ -268,8 +269,8 @@
     Ok(true)
 }
 
-/// Brings the copy of a job up to what its owner knows; whether the owner is sure that nothing
-/// follows. One that has let go of the job since may have missed what was stored last.
+/// Updates the copy of a job from its owner. Returns whether the owner is certain that nothing
+/// follows. An owner that has lost the job since may lack the results that were stored last.
 async fn ask_owner(
     node: &EntryNode,
     owner: &str,
@@ -298,17 +299,17 @@
 /// A read that another gateway makes for a client.
 #[derive(Debug)]
 pub struct PeerRead {
-    /// The job.
+    /// Id of the job.
     pub job: String,
-    /// The client's account.
+    /// The client account.
     pub account: String,
-    /// Results that the gateway holds already.
+    /// Number of results that the other gateway holds already.
     pub after: u64,
-    /// How long the answer may wait for a result, milliseconds.
+    /// How long the answer may be held until there is a result, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// Answers another gateway's question about a job.
+/// Answers another gateway's read of a job.
 pub async fn answer_peer(node: &Arc<EntryNode>, peer: &VmName, call: u64, read: &PeerRead) {
     let job = read.job.as_str();
     let after = usize::try_from(read.after).unwrap_or(usize::MAX);
@@ -319,33 +320,35 @@
     let known = loop {
         let listener = node.job_news.listen();
         let left = until.since(node.clock.mono());
-        // An owner in doubt tells what it has, and that more may follow; who asks has a store to ask, too.
+        // An owner whose ownership is unconfirmed sends what it has without claiming that it is
+        // complete. The other gateway can ask the store.
         let is_sure = ownership::is_sure(node, job);
         match read_state(node, job, after) {
             ReadState::Known(known) => {
-                break KnownLines { is_sure: is_sure || known.is_sure, ..known };
+                break KnownResults { is_sure: is_sure || known.is_sure, ..known };
             }
-            ReadState::OwnedNothing { total, held } if after > held => {
-                // Readers were shown more than is known here: somebody else extends the list.
+            ReadState::NothingNew { total, held } if after > held => {
+                // Readers were shown more results than are known here, so another gateway extends
+                // the list.
                 ownership::doubt(node, job, "asked_beyond");
-                break KnownLines { total, lines: Vec::new(), is_sure: false, ends_object: true };
+                break KnownResults { total, lines: Vec::new(), is_sure: false, ends_object: true };
             }
-            ReadState::OwnedNothing { total, .. } if left.is_zero() => {
-                break KnownLines { total, lines: Vec::new(), is_sure, ends_object: true };
+            ReadState::NothingNew { total, .. } if left.is_zero() => {
+                break KnownResults { total, lines: Vec::new(), is_sure, ends_object: true };
             }
-            ReadState::OwnedNothing { .. } => {
+            ReadState::NothingNew { .. } => {
                 let _ = timeout(left, listener).await;
             }
-            ReadState::Ask(_) => break KnownLines::nothing(),
+            ReadState::Ask(_) => break KnownResults::unknown(),
         }
     };
     let account = node.jobs().account(job).unwrap_or_default().to_owned();
-    let known = if may_access(&account, &read.account) { known } else { KnownLines::nothing() };
-    let sent = ResultLine::fitting(&known.lines, NEWS_BYTES);
+    let known = if may_access(&account, &read.account) { known } else { KnownResults::unknown() };
+    let sent = ResultLine::fitting(&known.lines, MAX_PEER_RESULT_BYTES);
     let is_cut = sent.len() < known.lines.len();
     let is_all = known.ends_object && !is_cut;
     let lines = sent.iter().map(|line| ResultLine::clone(line)).collect();
-    // What didn't fit follows what is told.
+    // The results that did not fit follow those that are sent.
     let is_sure = known.is_sure && !is_cut;
     let total = known.total as u64;
     node.peers.send(peer, PeerMessage::JobNews { call, account, is_sure, total, lines, is_all });
@@ -356,8 +359,8 @@
     OwnAnswer { status: 200, body, ..OwnAnswer::default() }
 }
 
-/// The results from a position on, by the word of whom `source` names; that there are none is logged.
-fn told_answer(
+/// Answers with the results from a position on. An empty answer is logged with its source.
+fn answer_from(
     node: &EntryNode,
     job: &str,
     total: usize,
@@ -373,7 +376,7 @@
     ReadAnswer { answer: results_answer(total, after, lines), source }
 }
 
-/// Nobody can say now: not that there is nothing.
+/// The answer if nobody can tell now: a refusal to retry, not an empty list.
 pub(super) fn unsure(node: &EntryNode, job: &str, reason: &'static str) -> ReadAnswer {
     node.log.warn("job_read_unsure", &[("job", &job), ("reason", &reason)]);
     node.metrics.count(Counter::Event("job_reads_unsure"));
--- a/crates/entry/src/batch/records.rs
+++ b/crates/entry/src/batch/records.rs
@@ -1,11 +1,12 @@
-//! What the store holds of jobs.
+//! The stored representation of jobs.
 //!
-//! A job is one object, created once: whoever sends it again finds it there. Its results are a chain
-//! of objects, each named after the position of its first result and created once, so that two
-//! gateways that both take themselves for the owner can't both write a position. A gateway that takes
-//! a job over first puts a fence at the list's end, an object without results: the former owner, which
-//! may be cut off and not know, can write nothing more, for it knows no name after the fence. The end of a job
-//! is an object of its own, which is created without knowing anything else.
+//! A job is one object that is created once: a repeated submission finds it there. Its results are
+//! a chain of objects, each named after the position of its first result and created once, so that
+//! two gateways that both believe they own the job cannot both write a position. A gateway that
+//! takes a job over first puts a fence, an object without results, at the end of the list. The
+//! former owner, which may be cut off and not know of the takeover, can write nothing more, as it
+//! does not know the names after the fence. The end of a job is a separate object, so that it can
+//! be created without reading anything first.
 
 use std::sync::Arc;
 
@@ -22,30 +23,30 @@
     store::{call_cause::StoreCallCause, client::StoreClient, reply::StoreFailure},
 };
 
-/// Kind of jobs, each named after its id.
+/// Kind of jobs. Each object is named after the job's id.
 pub const JOB_KIND: &str = "notch-jobs";
-/// Kind of parts of jobs too large for one object.
+/// Kind of the parts of jobs that are too large for one object.
 pub const PART_KIND: &str = "notch-job-parts";
 /// Kind of results.
 pub const RESULT_KIND: &str = "notch-results";
-/// Kind of ends of jobs, each named after its job.
+/// Kind of ends of jobs. Each object is named after its job.
 pub const END_KIND: &str = "notch-job-ends";
 
-/// A job as the store holds it.
+/// A job as stored.
 #[derive(Debug)]
 pub struct StoredJob {
-    /// Its name.
+    /// Id of the job, which is its object's name.
     pub id: String,
-    /// What was accepted.
+    /// The job as accepted.
     pub record: JobRecord,
-    /// Who owns it now.
+    /// Its owner, and whether it is closed.
     pub status: JobStatus,
-    /// Of its last change.
+    /// Revision of the object's last change.
     pub revision: u64,
 }
 
 impl StoredJob {
-    /// Decodes an object of [`JOB_KIND`]; `None` when it isn't one.
+    /// Decodes an object of [`JOB_KIND`]. Returns `None` if it is not one.
     pub fn decode(object: &StoreObject) -> Option<Self> {
         let record = serde_json::from_str(object.spec.as_ref()?.get()).ok()?;
         let status = object.status.as_ref().map_or("null", |status| status.get());
@@ -58,7 +59,7 @@
         })
     }
 
-    /// Who owns it: the gateway that took it over last, else the one that accepted it.
+    /// The owner: the gateway that took the job over last, or else the one that accepted it.
     pub fn owner(&self) -> &str {
         if self.status.owner.is_empty() { &self.record.owner } else { &self.status.owner }
     }
@@ -67,29 +68,29 @@
 /// One object of results.
 #[derive(Debug, Serialize, Deserialize)]
 struct ResultChunk {
-    /// Who wrote it.
+    /// The gateway that wrote it.
     writer: String,
     lines: Vec<Arc<ResultLine>>,
 }
 
-/// What became of results that were to be stored.
+/// Outcome of storing results.
 #[derive(Debug)]
 pub enum ChunkOutcome {
-    /// They stand at their position.
+    /// They are stored at their position.
     Stored,
-    /// Another gateway's results stand there, or its fence.
+    /// Another gateway's results or fence are stored at that position.
     Displaced {
-        /// Who wrote them.
+        /// The gateway that wrote them.
         writer: String,
-        /// Those results; none for a fence.
+        /// The results; none for a fence.
         lines: Vec<Arc<ResultLine>>,
     },
 }
 
-/// Creates a job; false when it was there already.
+/// Creates a job. Returns false if it was stored before.
 ///
 /// # Errors
-/// `Unknown` when it may be there or come to be; `NotDone` when it surely isn't by this call.
+/// `Unknown` if the job may be or become stored; `NotDone` if this call surely did not store it.
 pub async fn create_job(
     store: &StoreClient,
     id: &str,
@@ -102,25 +103,25 @@
     create(store, StoreCallCause::JobStored, JOB_KIND, id, record).await
 }
 
-/// The parts of a text too long for one object: 0 when it isn't.
+/// The number of parts of a text that is too long for one object; 0 if it fits into one.
 pub fn part_count(items_text: &str) -> usize {
     if items_text.len() <= OBJECT_BYTES { 0 } else { items_text.len().div_ceil(PART_BYTES) }
 }
 
-/// Bytes of one part: as a JSON string it may grow by its escaped quotes.
+/// Bytes of one part. Escaping quotes may make it longer as a JSON string.
 const PART_BYTES: usize = OBJECT_BYTES / 2;
 
-/// The items' text as it stands in the record itself.
+/// The text of the items, as held in the job's own object.
 pub fn inline_items(items_text: &str, parts: usize) -> Box<RawValue> {
     let text = if parts == 0 { items_text } else { "null" };
     RawValue::from_string(text.to_owned())
         .unwrap_or_else(|_| to_raw_value(&()).expect("null always encodes"))
 }
 
-/// Reads a job; `None` when there is none.
+/// Reads a job. Returns `None` if there is no such job.
 ///
 /// # Errors
-/// The store didn't answer.
+/// The store did not answer, or not with a job.
 pub async fn read_job(
     store: &StoreClient,
     id: &str,
@@ -134,10 +135,10 @@
     StoredJob::decode(&object).map(Some).ok_or(StoreFailure::NotDone)
 }
 
-/// The job with its items, whose parts are read where there are any.
+/// Decodes a job with its items, and reads its parts if it has any.
 ///
 /// # Errors
-/// The store didn't answer, or a part isn't there.
+/// The store did not answer, or a part is missing.
 pub async fn read_spec(
     store: &StoreClient,
     job: &StoredJob,
@@ -160,36 +161,36 @@
     job.record.decode_job(&job.id, text).map_err(|_| StoreFailure::NotDone)
 }
 
-/// The stored list of a job from a position on.
+/// A job's stored result list from some position on.
 #[derive(Debug, Default)]
 pub struct StoredList {
     /// The results.
     pub lines: Vec<Arc<ResultLine>>,
-    /// Fences after the last of them.
+    /// Number of fences after the last of them.
     pub fences: u32,
 }
 
-/// Stored results from `position` on, where an object begins.
+/// Reads the stored results from `position` on, where an object has to begin.
 ///
 /// # Errors
-/// The store didn't answer.
+/// The store did not answer.
 pub async fn read_results(
     store: &StoreClient,
     id: &str,
     position: usize,
     cause: StoreCallCause,
 ) -> Result<StoredList, StoreFailure> {
-    walk_results(store, id, position, cause, |_| {}).await
+    read_chunks(store, id, position, cause, |_| {}).await
 }
 
-/// Reads a job's objects of results from `position` on, one after the other, and tells the name of
-/// each: only who has read one can name the next.
-async fn walk_results(
+/// Reads the result objects of a job from `position` on in order, and passes the name of each to
+/// `on_chunk`. The name of an object follows from the contents of those before it.
+async fn read_chunks(
     store: &StoreClient,
     id: &str,
     position: usize,
     cause: StoreCallCause,
-    mut tell: impl FnMut(String),
+    mut on_chunk: impl FnMut(String),
 ) -> Result<StoredList, StoreFailure> {
     let mut list = StoredList::default();
     loop {
@@ -201,14 +202,15 @@
         let chunk = decode_chunk(&reply.body)?;
         list.fences = if chunk.lines.is_empty() { list.fences + 1 } else { 0 };
         list.lines.extend(chunk.lines);
-        tell(name);
+        on_chunk(name);
     }
 }
 
-/// Reads a job's whole list and puts a fence at its end, after which only `owner` can extend it.
+/// Reads a job's whole result list and puts a fence at its end, after which only `owner` can extend
+/// it.
 ///
 /// # Errors
-/// The store didn't answer.
+/// The store did not answer.
 pub async fn fence_results(
     store: &StoreClient,
     id: &str,
@@ -224,16 +226,17 @@
                 list.fences += 1;
                 return Ok(list);
             }
-            // The former owner was faster: what it wrote counts.
+            // The former owner wrote first: its results are part of the list.
             ChunkOutcome::Displaced { .. } => {}
         }
     }
 }
 
-/// Stores results at `position`, after the fences that stand there.
+/// Stores results at `position`, after the fences there.
 ///
 /// # Errors
-/// The store didn't answer: they may stand there or come to. Only the same ones may be tried again.
+/// The store did not answer: the results may be or become stored. Only the same results may be
+/// retried at that position.
 pub async fn store_results(
     store: &StoreClient,
     id: &str,
@@ -247,7 +250,7 @@
     store_chunk(store, StoreCallCause::ResultsStored, &name, chunk).await
 }
 
-/// Creates an object of results, or of none, which is a fence.
+/// Creates a result object. One without results is a fence.
 async fn store_chunk(
     store: &StoreClient,
     cause: StoreCallCause,
@@ -260,17 +263,17 @@
     if reply.is_success() {
         return Ok(ChunkOutcome::Stored);
     }
-    let there = decode_chunk(&reply.body)?;
-    if there.writer == chunk.writer && there.lines == chunk.lines {
+    let existing = decode_chunk(&reply.body)?;
+    if existing.writer == chunk.writer && existing.lines == chunk.lines {
         return Ok(ChunkOutcome::Stored);
     }
-    Ok(ChunkOutcome::Displaced { writer: there.writer, lines: there.lines })
+    Ok(ChunkOutcome::Displaced { writer: existing.writer, lines: existing.lines })
 }
 
-/// Makes `owner` the job's owner, if nobody else became it since it was read.
+/// Makes `owner` the job's owner, unless the job has changed since it was read.
 ///
 /// # Errors
-/// The store didn't answer: it may have become the owner.
+/// The store did not answer: `owner` may own the job.
 pub async fn take_job(
     store: &StoreClient,
     job: &StoredJob,
@@ -291,10 +294,10 @@
     Ok(reply.is_success())
 }
 
-/// Notes that all results of a job are stored. That stays true whoever owns it.
+/// Records that all results of a job are stored, which holds whoever owns the job.
 ///
 /// # Errors
-/// The store didn't answer.
+/// The store did not answer.
 pub async fn close_job(store: &StoreClient, id: &str, owner: &str) -> Result<(), StoreFailure> {
     let status = JobStatus { owner: owner.to_owned(), closed: true };
     let body = status_body(id, None, &status);
@@ -305,14 +308,14 @@
         .map(|_| ())
 }
 
-/// Deletes all that the store holds of a job. Results go from the last to the first and the job
-/// itself goes last, so that a deletion that broke off is found and ended later.
+/// Deletes everything stored of a job. Results are deleted from the last to the first and the job
+/// itself last, so that an interrupted deletion is found and completed later.
 ///
 /// # Errors
-/// The store didn't answer: a part of it may be left.
+/// The store did not answer: some objects may be left.
 pub async fn delete_job(store: &StoreClient, job: &StoredJob) -> Result<(), StoreFailure> {
     let mut chunks = Vec::new();
-    walk_results(store, &job.id, 0, StoreCallCause::Retention, |name| chunks.push(name)).await?;
+    read_chunks(store, &job.id, 0, StoreCallCause::Retention, |name| chunks.push(name)).await?;
     for name in chunks.iter().rev() {
         delete(store, RESULT_KIND, name).await?;
     }
@@ -334,7 +337,7 @@
 /// Stores a job's end.
 ///
 /// # Errors
-/// The store didn't answer.
+/// The store did not answer.
 pub async fn store_end(store: &StoreClient, id: &str) -> Result<(), StoreFailure> {
     create(store, StoreCallCause::EndStored, END_KIND, id, &()).await.map(|_| ())
 }
@@ -342,7 +345,7 @@
 /// Whether a job's end is stored.
 ///
 /// # Errors
-/// The store didn't answer.
+/// The store did not answer.
 pub async fn read_end(
     store: &StoreClient,
     id: &str,
@@ -381,7 +384,7 @@
     format!("{id}.{index:03}")
 }
 
-/// Cuts a text into `parts` parts, none in the middle of a character.
+/// Splits a text into `parts` parts at character boundaries.
 fn split_text(text: &str, parts: usize) -> Vec<&str> {
     let mut rest = text;
     let mut list = Vec::with_capacity(parts);
--- a/crates/entry/src/batch/runner.rs
+++ b/crates/entry/src/batch/runner.rs
@@ -1,4 +1,4 @@
-//! Starts items where targets have places, breaks them off for online work, stores results.
+//! Starts items at targets with free slots, preempts them for online requests, and stores results.
 
 use std::sync::Arc;
 
@@ -21,7 +21,8 @@
         if is_idle {
             listener.await;
         } else {
-            // Time passes for items and results that wait; a wake-up only makes it sooner.
+            // Waiting items and results also depend on time; a wake-up only makes the next pass
+            // earlier.
             let _ = timeout(RUNNER_TICK, listener).await;
         }
         let now = node.clock.mono();
@@ -32,7 +33,7 @@
     }
 }
 
-/// Gives up items whose time is over or whose route is gone.
+/// Gives up items whose lifetime is over or whose route no longer exists.
 fn give_up_items(node: &EntryNode, now: MonoTime) {
     let Some(routes) = node.routes() else { return };
     let mut registry = node.jobs();
@@ -57,7 +58,8 @@
         let spec = Arc::clone(owned.spec());
         let path = &spec.items[index].path;
         let Some(route) = routes.find(&spec.host, path) else {
-            // Its items are given up with the job's route; an item on another route just waits.
+            // Items are given up only if the job's own route is gone; an item on another missing
+            // route waits.
             return;
         };
         let service = route.service_for(rand::random());
@@ -81,7 +83,8 @@
     }
 }
 
-/// What a run that began again lost, and whether it could be in time, show where its gateway is gone too.
+/// Logs the event from which a restarted run continues and the time left to the deadline, so that
+/// both are known even if the job's former gateway is gone.
 fn log_start(node: &EntryNode, start: &ItemStart, choice: &TargetChoice, left_ms: i64) {
     node.log.info(
         "item_run_started",
@@ -95,8 +98,8 @@
     );
 }
 
-/// Breaks off items at targets with more requests than places, those that began last: engines take
-/// requests first come first served, so online requests may wait behind them.
+/// Interrupts the items that began last at targets with more requests than slots. Engines serve
+/// requests first come, first served, so online requests may wait behind them.
 fn preempt_items(node: &EntryNode, now: MonoTime) {
     let registry = node.jobs();
     let targets = node.targets();
@@ -114,8 +117,8 @@
     }
 }
 
-/// Breaks off the item that began last at `target`: an online request was sent there that finds no
-/// place free. Waiting for the next pass would add up to [`RUNNER_TICK`] to its first event.
+/// Interrupts the item that began last at `target`, for an online request sent there that finds no
+/// free slot. Waiting for the next pass would add up to [`RUNNER_TICK`] to its first event.
 pub fn preempt_newest_item(node: &EntryNode, target: &str) {
     let registry = node.jobs();
     let runs = registry.runs.values().filter(|run| run.target == target && !run.cancel.is_closed());
--- a/crates/entry/src/retirements.rs
+++ b/crates/entry/src/retirements.rs
@@ -1,5 +1,5 @@
-//! Answers requests to empty a VM with a disk. Nothing of ours lies on any disk, so the gateways that follow the
-//! store answer at once.
+//! Answers requests to empty a VM with a disk. Gateways store nothing on disks, so those that
+//! follow the store answer immediately.
 
 use std::{
     sync::{Arc, Mutex, PoisonError},
@@ -24,10 +24,11 @@
     },
 };
 
-/// How much longer each gateway waits than the one before it in rank: an answer by that one is heard meanwhile.
-const ANSWER_STEP: Duration = Duration::from_millis(600);
+/// Delay between the answers of consecutive ranks, so that a gateway sees the answer of the one
+/// before it.
+const ANSWER_DELAY_PER_RANK: Duration = Duration::from_millis(600);
 
-/// VMs whose request is answered already.
+/// VMs whose request has been answered.
 type AnsweredVms = Arc<Mutex<FastSet<String>>>;
 
 /// Answers requests to empty a VM, until the process ends.
@@ -37,31 +38,31 @@
         FeedPlan { watcher: Some(&node), start: FeedStart::WhenRequired, ..FeedPlan::default() };
     follow(&node.store, RETIREMENT_KIND, plan, |event| match event {
         FeedEvent::Snapshot { objects, .. } => {
-            objects.iter().for_each(|object| take_request(&node, &answered, object));
+            objects.iter().for_each(|object| handle_request(&node, &answered, object));
         }
-        FeedEvent::Changed { object } => take_request(&node, &answered, object),
+        FeedEvent::Changed { object } => handle_request(&node, &answered, object),
         FeedEvent::Deleted { object, .. } => {
-            held(&answered).remove(&object.metadata.name);
+            lock(&answered).remove(&object.metadata.name);
         }
     })
     .await;
 }
 
-fn take_request(node: &Arc<EntryNode>, answered: &AnsweredVms, object: &StoreObject) {
+fn handle_request(node: &Arc<EntryNode>, answered: &AnsweredVms, object: &StoreObject) {
     let vm = object.metadata.name.clone();
     if RetirementStatus::is_completed(object) {
-        held(answered).insert(vm);
+        lock(answered).insert(vm);
         return;
     }
-    held(answered).remove(&vm);
-    task::spawn(answer_one(Arc::clone(node), Arc::clone(answered), vm));
+    lock(answered).remove(&vm);
+    task::spawn(answer_request(Arc::clone(node), Arc::clone(answered), vm));
 }
 
-async fn answer_one(node: Arc<EntryNode>, answered: AnsweredVms, vm: String) {
-    task::sleep(ANSWER_STEP * rank(&node, &vm)).await;
+async fn answer_request(node: Arc<EntryNode>, answered: AnsweredVms, vm: String) {
+    task::sleep(ANSWER_DELAY_PER_RANK * rank(&node, &vm)).await;
     let body = status_body(&vm, None, &RetirementStatus::completed());
     let path = status_path(RETIREMENT_KIND, &vm);
-    while !held(&answered).contains(&vm) {
+    while !lock(&answered).contains(&vm) {
         let wait = node.store.settings().call_timeout;
         let cause = StoreCallCause::Retirement;
         if node.store.call(cause, "PUT", &path, Some(&body), wait).await.is_ok() {
@@ -72,7 +73,8 @@
     }
 }
 
-/// This gateway's place in the order in which those that follow the store answer for `vm`.
+/// This gateway's rank among those that follow the store, in the order in which they answer for
+/// `vm`.
 fn rank(node: &EntryNode, vm: &str) -> u32 {
     let weight = |gateway: &VmName| stable_hash64(&[vm.as_bytes(), gateway.as_str().as_bytes()]);
     let own = weight(&node.config.node.vm);
@@ -80,6 +82,6 @@
     followers.iter().filter(|other| weight(other) > own).count() as u32
 }
 
-fn held(answered: &AnsweredVms) -> std::sync::MutexGuard<'_, FastSet<String>> {
+fn lock(answered: &AnsweredVms) -> std::sync::MutexGuard<'_, FastSet<String>> {
     answered.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/entry/src/route_cleanup.rs
+++ b/crates/entry/src/route_cleanup.rs
@@ -1,13 +1,14 @@
-//! Forgets what is known of routes that the configuration no longer names.
+//! Drops the state of routes that the configuration no longer names.
 
 use notch_relay::prelude::*;
 use notch_types::prelude::*;
 
 use crate::{batch::limits, node::EntryNode};
 
-/// Forgets routes that haven't been named for long, as of `now`. Whose jobs wait here is kept.
+/// Drops the state of routes that have not been named for long as of `now`, except those with jobs
+/// waiting here.
 pub fn forget_routes(node: &EntryNode, now: MonoTime) {
-    // Before the first configuration nothing can be told of any route.
+    // Without a configuration it is not known which routes are unused.
     let Some(routes) = node.routes() else { return };
     let is_named =
         |name: &str| routes.routes().any(|route| WaitingLimit::is_of_route(name, &route.name));
--- a/crates/entry/src/store.rs
+++ b/crates/entry/src/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store: one client, and what is followed there.
+//! The platform's store: its client, and feeds of its objects.
 
 pub mod call_cause;
 pub mod call_counts;
--- a/crates/entry/src/store/call_cause.rs
+++ b/crates/entry/src/store/call_cause.rs
@@ -1,4 +1,4 @@
-//! What a call to the store is about and why it is made, for the account of what calls cost.
+//! What a call to the store is about and why it is made, to attribute the cost of calls.
 
 use notch_platform_wire::store::{CONFIGURATION_KIND, RETIREMENT_KIND, TARGET_KIND, kind_of_path};
 
@@ -13,37 +13,37 @@
 /// Why a call to the store is made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreCallCause {
-    /// A change of a kind that is followed is waited for.
+    /// Waiting for changes of a followed kind.
     Watch,
-    /// The whole list of a kind that is followed.
+    /// Listing a followed kind.
     List,
-    /// This gateway makes itself known.
+    /// Registering this gateway.
     Registration,
-    /// A job is accepted.
+    /// Accepting a job.
     JobStored,
-    /// Jobs without an owner are searched for.
+    /// Searching for jobs without a live owner.
     OrphanSearch,
-    /// A job is taken over.
+    /// Taking a job over.
     JobTakenOver,
-    /// Results are stored.
+    /// Storing results.
     ResultsStored,
-    /// A client reads a job.
+    /// Reading a job for a client.
     ResultsRead,
-    /// Who owns a job that runs here.
+    /// Checking who owns a job that runs here.
     OwnershipChecked,
-    /// All results of a job are stored.
+    /// Closing a job whose results are all stored.
     JobClosed,
-    /// A client ends a job.
+    /// Ending a job for a client.
     EndStored,
-    /// Shares of a limit.
+    /// Reading or writing the shares of a limit.
     LimitShares,
-    /// Old jobs are searched for and deleted.
+    /// Searching for old jobs and deleting them.
     Retention,
-    /// A VM with a disk was asked to empty it.
+    /// Answering a request to empty a VM with a disk.
     Retirement,
-    /// That the configuration in force is the newest one is confirmed.
+    /// Confirming that the configuration in force is the newest one.
     ConfigurationConfirmed,
-    /// Another gateway asked for the call.
+    /// Forwarding a call for another gateway.
     ForAnother,
 }
 
@@ -104,7 +104,7 @@
     Gateway,
     /// Jobs.
     Job,
-    /// Parts of jobs too large for one object.
+    /// Parts of jobs that are too large for one object.
     JobPart,
     /// Results of jobs.
     Results,
@@ -112,12 +112,12 @@
     JobEnd,
     /// Shares of a limit.
     LimitShares,
-    /// None that this process knows.
+    /// Any other kind.
     Other,
 }
 
 impl ObjectKind {
-    /// The kind that a call's path names.
+    /// The kind in a call's path.
     pub fn of_path(path: &str) -> Self {
         match kind_of_path(path) {
             CONFIGURATION_KIND => Self::Configuration,
--- a/crates/entry/src/store/call_counts.rs
+++ b/crates/entry/src/store/call_counts.rs
@@ -1,4 +1,4 @@
-//! How many calls to the store this process made, by cause.
+//! Counts this process's calls to the store by cause.
 
 use std::{
     fmt::Display,
@@ -9,23 +9,23 @@
 
 use crate::store::call_cause::{ObjectKind, StoreCallCause};
 
-/// Counts calls to the store since the process started.
+/// Calls to the store since the process started.
 #[derive(Debug, Default)]
 pub struct StoreCallCounts {
     by_cause: [AtomicU64; StoreCallCause::ALL.len()],
-    /// All calls when they were logged last.
+    /// Total number of calls when they were last logged.
     logged: AtomicU64,
-    /// By kind of object and cause; none in a process without metrics.
+    /// Metric by kind of object and cause; `None` in a process without metrics.
     metric: Option<PairCounter>,
 }
 
 impl StoreCallCounts {
-    /// Counts that are shown by `metric` too.
+    /// Counts that are exported by `metric` too.
     pub fn new(metric: Option<PairCounter>) -> Self {
         Self { metric, ..Self::default() }
     }
 
-    /// A call is made.
+    /// Counts a call.
     pub fn note(&self, cause: StoreCallCause, path: &str) {
         self.by_cause[cause as usize].fetch_add(1, Ordering::Relaxed);
         if let Some(metric) = &self.metric {
@@ -33,12 +33,13 @@
         }
     }
 
-    /// Calls made for a cause.
+    /// Number of calls made for a cause.
     pub fn count(&self, cause: StoreCallCause) -> u64 {
         self.by_cause[cause as usize].load(Ordering::Relaxed)
     }
 
-    /// Logs the calls made since the start, by cause, unless none was made since they were logged last.
+    /// Logs the number of calls since the start by cause, unless it has not changed since the last
+    /// log.
     pub fn log(&self, log: &NodeLog) {
         let counts = StoreCallCause::ALL.map(|cause| (cause.code(), self.count(cause)));
         let all: u64 = counts.iter().map(|(_, count)| count).sum();
--- a/crates/entry/src/store/client.rs
+++ b/crates/entry/src/store/client.rs
@@ -1,4 +1,4 @@
-//! The one client of the store.
+//! HTTP client of the store.
 
 use std::{
     net::SocketAddr,
@@ -24,51 +24,53 @@
     },
 };
 
-/// Bytes of one answer, at most: a list page is about 1 MB.
-const ANSWER_BYTES: usize = 8 << 20;
-/// Bytes of an answer's head, at most.
-const HEAD_BYTES: usize = 16 << 10;
-/// Calls that wait to be passed to another gateway, at most; more are made directly.
-const DETOURS_WAITING: usize = 64;
-/// Idle connections kept.
-const IDLE_KEPT: usize = 4;
+/// Maximum bytes of an answer's body. A list page is about 1 MB.
+const MAX_BODY_BYTES: usize = 8 << 20;
+/// Maximum bytes of an answer's head.
+const MAX_HEAD_BYTES: usize = 16 << 10;
+/// Maximum number of calls queued for forwarding to another gateway. Further calls are made
+/// directly.
+const MAX_QUEUED_FORWARDS: usize = 64;
+/// Maximum number of idle connections kept.
+const MAX_IDLE_CONNECTIONS: usize = 4;
 
-/// Calls the store. A connection on which an answer failed to come is never used again: nothing
-/// more comes on it.
+/// Calls the store. A connection on which an answer is missing is never reused, as nothing more
+/// arrives on it.
 #[derive(Debug)]
 pub struct StoreClient {
     settings: Mutex<StoreSettings>,
     idle: Mutex<Vec<WireReader>>,
     outage: Mutex<StoreOutage>,
-    detour: Mutex<ForwardingState>,
-    /// Calls to be made by another gateway; nobody receives them where there is none.
-    detours: Sender<ForwardedCall>,
+    forwarding: Mutex<ForwardingState>,
+    /// Calls to be made by another gateway. Nobody receives them in a process without other
+    /// gateways.
+    forwards: Sender<ForwardedCall>,
     clock: NodeClock,
     log: NodeLog,
     calls: StoreCallCounts,
 }
 
 impl StoreClient {
-    /// A client with its settings, and the calls that another gateway should make for it. Where
-    /// these are dropped the client has none to ask.
+    /// Creates a client. Also returns the queue of calls that another gateway should make; if it is
+    /// dropped, all calls are made directly.
     pub fn new(
         settings: StoreSettings,
         clock: NodeClock,
         log: NodeLog,
         calls: StoreCallCounts,
     ) -> (Self, Receiver<ForwardedCall>) {
-        let (detours, detour_calls) = async_channel::bounded(DETOURS_WAITING);
+        let (forwards, forwarded_calls) = async_channel::bounded(MAX_QUEUED_FORWARDS);
         let client = Self {
             settings: Mutex::new(settings),
             idle: Mutex::default(),
             outage: Mutex::default(),
-            detour: Mutex::default(),
-            detours,
+            forwarding: Mutex::default(),
+            forwards,
             clock,
             log,
             calls,
         };
-        (client, detour_calls)
+        (client, forwarded_calls)
     }
 
     /// The settings in force.
@@ -76,7 +78,7 @@
         self.settings.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// The log of the process.
+    /// The process's log.
     pub fn log(&self) -> &NodeLog {
         &self.log
     }
@@ -86,17 +88,17 @@
         self.clock.mono()
     }
 
-    /// The clock that counts suspended time, too.
+    /// The clock that includes suspended time.
     pub fn boot_now(&self) -> MonoTime {
         self.clock.boot()
     }
 
-    /// The calls made so far.
+    /// The number of calls made so far.
     pub fn calls(&self) -> &StoreCallCounts {
         &self.calls
     }
 
-    /// Takes new settings; idle connections may lead to an old address.
+    /// Applies new settings. Drops idle connections, which may lead to a former address.
     pub fn reload(&self, settings: StoreSettings) {
         *self.settings.lock().unwrap_or_else(PoisonError::into_inner) = settings;
         self.idle.lock().unwrap_or_else(PoisonError::into_inner).clear();
@@ -107,20 +109,20 @@
         *self.outage.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A call without a body, such as a read.
+    /// Makes a call without a body, such as a read.
     ///
     /// # Errors
-    /// No answer, or turned away.
+    /// No answer, or the store refused the call.
     pub async fn get(&self, cause: StoreCallCause, path: &str) -> Result<StoreReply, StoreFailure> {
         let wait = self.settings().call_timeout;
         self.call(cause, "GET", path, None, wait).await
     }
 
-    /// A call; the answer must come within `wait`. While the store turns this VM away the call is
-    /// made by another gateway, if one can.
+    /// Makes a call whose answer must arrive within `wait`. While the store is unreachable from
+    /// this VM, another gateway makes the call if possible.
     ///
     /// # Errors
-    /// No answer, or turned away.
+    /// No answer, or the store refused the call.
     pub async fn call(
         &self,
         cause: StoreCallCause,
@@ -130,24 +132,25 @@
         wait: Duration,
     ) -> Result<StoreReply, StoreFailure> {
         let down_since = self.outage().down_since();
-        let way = self.detour_state().way(down_since, self.clock.mono());
+        let way = self.forwarding_state().way(down_since, self.clock.mono());
         if way == CallRouting::Forwarded
-            && let Some(result) = self.call_by_another(method, path, body, wait).await
+            && let Some(result) = self.call_via_peer(method, path, body, wait).await
         {
             return result;
         }
         let result = self.call_directly(cause, method, path, body, wait).await;
         if way == CallRouting::DirectFirst
             && matches!(result, Err(StoreFailure::NotDone))
-            && let Some(detoured) = self.call_by_another(method, path, body, wait).await
+            && let Some(forwarded) = self.call_via_peer(method, path, body, wait).await
         {
-            return detoured;
+            return forwarded;
         }
         result
     }
 
-    /// The call's end if another gateway made it; `None` when it has to be made directly.
-    async fn call_by_another(
+    /// The outcome of a call made by another gateway, or `None` if the call has to be made
+    /// directly.
+    async fn call_via_peer(
         &self,
         method: &str,
         path: &str,
@@ -158,23 +161,23 @@
         let (method, path) = (method.to_owned(), path.to_owned());
         let body = body.map(<[u8]>::to_vec);
         let call = ForwardedCall { method, path, body, wait, end };
-        let result = match self.detours.try_send(call) {
+        let result = match self.forwards.try_send(call) {
             Ok(()) => ended.recv().await.ok().flatten(),
             Err(_) => None,
         };
-        let has_helped = matches!(result, Some(Ok(_)));
-        self.detour_state().note_end(has_helped, self.clock.mono());
+        let was_answered = matches!(result, Some(Ok(_)));
+        self.forwarding_state().note_end(was_answered, self.clock.mono());
         result
     }
 
-    fn detour_state(&self) -> MutexGuard<'_, ForwardingState> {
-        self.detour.lock().unwrap_or_else(PoisonError::into_inner)
+    fn forwarding_state(&self) -> MutexGuard<'_, ForwardingState> {
+        self.forwarding.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A call from this VM itself.
+    /// Makes a call from this VM.
     ///
     /// # Errors
-    /// No answer, or turned away.
+    /// No answer, or the store refused the call.
     pub async fn call_directly(
         &self,
         cause: StoreCallCause,
@@ -221,11 +224,12 @@
         let bytes = writer.with_body(body.unwrap_or_default());
         let exchange = async {
             write_all(connection.stream(), &bytes).await?;
-            let head = connection.response_head(HEAD_BYTES).await?;
-            let body = connection.whole_body(head.framing()?, ANSWER_BYTES).await?;
+            let head = connection.response_head(MAX_HEAD_BYTES).await?;
+            let body = connection.whole_body(head.framing()?, MAX_BODY_BYTES).await?;
             Ok::<_, WireError>((head, body))
         };
-        // An expired wait or a broken connection leaves the call's fate open: it may be done later.
+        // After a timeout or a broken connection the outcome is unknown: the call may still take
+        // effect.
         let answered = timeout(wait, exchange).await.map_err(|_| StoreFailure::Unknown)?;
         let (head, body) = answered.map_err(|_| StoreFailure::Unknown)?;
         if head.keep_alive {
@@ -253,14 +257,15 @@
             Ok(Ok(stream)) => stream,
             Ok(Err(_)) | Err(_) => return Err(StoreFailure::NotDone),
         };
-        // Without it small calls would wait for acknowledgements; a socket that refuses it works.
+        // With Nagle's algorithm small calls would wait for acknowledgements. A failure to disable
+        // it is harmless.
         let _ = stream.set_nodelay(true);
         Ok(WireReader::new(stream))
     }
 
     fn keep(&self, connection: WireReader) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        if idle.len() < IDLE_KEPT {
+        if idle.len() < MAX_IDLE_CONNECTIONS {
             idle.push(connection);
         }
     }
--- a/crates/entry/src/store/configuration.rs
+++ b/crates/entry/src/store/configuration.rs
@@ -9,20 +9,20 @@
 use notch_relay::prelude::*;
 use serde_json::value::RawValue;
 
-/// The configuration in force, with the text it came from for gateways that lag.
+/// The configuration in force, with its text for gateways that lack it.
 #[derive(Debug, Clone)]
 pub struct ConfigurationInForce {
-    /// Ordered for look-ups.
+    /// Routes, indexed for lookups.
     pub routes: Arc<RouteTable>,
-    /// As the store holds it, with digests in place of keys.
+    /// Text as stored, with digests in place of keys.
     pub text: Arc<str>,
 }
 
-/// Decodes a configuration, if it is newer than `current`. Versions only go forward: a peer or a
-/// list that is behind must never bring an older one back.
+/// Decodes a configuration, if it is newer than `current`. Versions only increase, so that a
+/// gateway or a list that lags behind never brings an older one back.
 ///
 /// # Errors
-/// Not a configuration.
+/// The text is not a configuration.
 pub fn newer_configuration(
     current: Option<&ConfigurationInForce>,
     spec: &RawValue,
--- a/crates/entry/src/store/feed.rs
+++ b/crates/entry/src/store/feed.rs
@@ -1,4 +1,4 @@
-//! Follows one kind of objects: a whole list first, then every change.
+//! Follows one kind of objects: lists it once, then watches for changes.
 
 use std::time::Duration;
 
@@ -17,44 +17,44 @@
     },
 };
 
-/// How often the pause after a failed list is doubled, at most: a store that turns this VM away does so for seconds,
-/// and counts each call.
-const LONGEST_BACKOFF: u32 = 2;
+/// How often the pause after a failed list is doubled at most. A store that refuses this VM does so
+/// for seconds, and counts each call.
+const MAX_BACKOFF_DOUBLINGS: u32 = 2;
 
-/// Which way calls to the store go.
+/// How calls to the store are routed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StorePath {
-    /// From this VM only: changes that can't be watched come from the other gateways.
+    /// From this VM only. If that fails, changes are reported by the other gateways.
     Direct,
-    /// Through another gateway while the store turns this one away.
+    /// Through another gateway while the store is unreachable from this VM.
     Any,
 }
 
-/// When a kind is listed first.
+/// When a kind is first listed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum FeedStart {
-    /// At once: the gateway needs it, whether or not it follows it later.
+    /// Immediately: the gateway needs the list, whether or not it watches the kind later.
     #[default]
     Immediate,
-    /// When it's this gateway's duty, after others have had the time to begin theirs.
+    /// When this gateway is required to watch, after others had time to start their watches.
     WhenRequired,
 }
 
 /// How a kind is followed.
 #[derive(Clone, Copy, Default)]
 pub struct FeedPlan<'a> {
-    /// Least time between two answers of a watch.
+    /// Minimum pause before each watch call.
     pub pause: Duration,
-    /// The gateway whose duty it is, or isn't while enough others follow; `None` for always.
+    /// The gateway that follows the kind only while too few others do; `None` to follow it always.
     pub watcher: Option<&'a EntryNode>,
-    /// When it is listed first.
+    /// When the kind is first listed.
     pub start: FeedStart,
-    /// Told of each answer, where it matters how old the knowledge is.
+    /// Records the time of each answer, where the age of the data matters.
     pub answer_clock: Option<&'a FeedClock>,
 }
 
 impl FeedPlan<'_> {
-    /// Waits until it's this gateway's duty to follow the kind.
+    /// Waits until this gateway is required to watch.
     async fn wait_until_required(&self) {
         while self.watcher.is_some_and(|node| !node.must_watch()) {
             task::sleep(DUTY_TICK).await;
@@ -70,17 +70,17 @@
 
 /// Follows `kind` until the process ends.
 ///
-/// The history that a watch goes on from may be dropped at any time, and a cut watch may have
-/// missed changes, so whatever is not a plain answer leads back to a whole list.
+/// The store may drop the history that a watch continues from, and an interrupted watch may have
+/// missed changes, so after any failure the kind is listed again.
 pub async fn follow(
     store: &StoreClient,
     kind: &str,
     plan: FeedPlan<'_>,
-    mut tell: impl FnMut(FeedEvent<'_>),
+    mut on_event: impl FnMut(FeedEvent<'_>),
 ) {
-    // Others rely on what is followed from the start on.
-    let counted = plan.watcher.filter(|_| plan.start == FeedStart::Immediate);
-    if let Some(node) = counted {
+    // Only feeds that start immediately count when other gateways rely on this one.
+    let counted_node = plan.watcher.filter(|_| plan.start == FeedStart::Immediate);
+    if let Some(node) = counted_node {
         node.watch.add_feed();
     }
     if plan.start == FeedStart::WhenRequired {
@@ -93,21 +93,21 @@
         match list_all(store, kind, StorePath::Direct, StoreCallCause::List).await {
             Ok((objects, as_of)) => {
                 failures = 0;
-                tell(FeedEvent::Snapshot { objects, as_of, asked });
+                on_event(FeedEvent::Snapshot { objects, as_of, asked });
                 plan.note_answer(store);
-                let _live = counted.map(|node| node.watch.live_feed());
-                watch(store, kind, as_of, plan, &mut tell).await;
+                let _live = counted_node.map(|node| node.watch.live_feed());
+                watch(store, kind, as_of, plan, &mut on_event).await;
             }
             Err(_) => {
                 task::sleep(jittered(STORE_PAUSE * (2_u32.pow(failures)))).await;
-                failures = LONGEST_BACKOFF.min(failures + 1);
+                failures = MAX_BACKOFF_DOUBLINGS.min(failures + 1);
             }
         }
         plan.wait_until_required().await;
     }
 }
 
-/// Every object of `kind`, with the store's revision.
+/// Lists every object of `kind`, with the store's revision.
 ///
 /// # Errors
 /// The store did not answer, or not with a list.
@@ -133,8 +133,9 @@
             return Ok((objects, as_of.unwrap_or(0)));
         }
         let page: ListPage = decode(&reply.body).map_err(|_| StoreFailure::NotDone)?;
-        // A watch from the first page's revision repeats what later pages already show, which is
-        // harmless; from the last page's it could miss a change of the first.
+        // A watch from the first page's revision repeats changes that later pages already contain,
+        // which is harmless. From the last page's revision it could miss a change on the first
+        // page.
         let as_of_first = *as_of.get_or_insert(page.store_revision);
         note_unreadable(store, kind, page.items.unreadable);
         let is_last = !page.more || page.items.entries.is_empty();
@@ -145,7 +146,7 @@
     }
 }
 
-/// The others in the list hold.
+/// Logs entries that cannot be decoded; the others in the list stay valid.
 fn note_unreadable(store: &StoreClient, kind: &str, count: usize) {
     if count > 0 {
         store.log().error("store_entries_unreadable", &[("kind", &kind), ("count", &count)]);
@@ -157,7 +158,7 @@
     kind: &str,
     mut revision: u64,
     plan: FeedPlan<'_>,
-    tell: &mut impl FnMut(FeedEvent<'_>),
+    on_event: &mut impl FnMut(FeedEvent<'_>),
 ) {
     loop {
         if plan.watcher.is_some_and(|node| !node.must_watch()) {
@@ -177,7 +178,7 @@
         note_unreadable(store, kind, page.events.unreadable);
         for event in &page.events.entries {
             let object = &event.object;
-            tell(if event.deleted {
+            on_event(if event.deleted {
                 FeedEvent::Deleted { object, as_of: revision }
             } else {
                 FeedEvent::Changed { object }
--- a/crates/entry/src/store/feed_clock.rs
+++ b/crates/entry/src/store/feed_clock.rs
@@ -1,4 +1,4 @@
-//! When a feed of the store was answered last.
+//! The age of the last answer to a feed.
 
 use std::{
     sync::atomic::{AtomicU64, Ordering},
@@ -7,7 +7,7 @@
 
 use notch_types::prelude::MonoTime;
 
-/// When a feed was answered last; never at first.
+/// When a feed was last answered.
 #[derive(Debug, Default)]
 pub struct FeedClock {
     /// Microseconds of the monotonic clock; 0 for never.
@@ -15,12 +15,12 @@
 }
 
 impl FeedClock {
-    /// The store answered: what is known is its state of a moment ago.
+    /// Records an answer by the store at `now`.
     pub fn note_answer(&self, now: MonoTime) {
         self.answered_at.store(now.0.max(1), Ordering::Release);
     }
 
-    /// Whether the store has answered at all.
+    /// Whether the store has ever answered.
     pub fn is_answered(&self) -> bool {
         self.answered_at.load(Ordering::Acquire) > 0
     }
--- a/crates/entry/src/store/feed_event.rs
+++ b/crates/entry/src/store/feed_event.rs
@@ -1,9 +1,9 @@
-//! What a feed of the store's objects tells.
+//! Events of a feed of store objects.
 
 use notch_platform_wire::prelude::StoreObject;
 use notch_types::prelude::MonoTime;
 
-/// What a feed tells.
+/// An event of a feed.
 #[derive(Debug)]
 pub enum FeedEvent<'a> {
     /// The whole list, as of a revision of the store.
@@ -12,19 +12,19 @@
         objects: Vec<StoreObject>,
         /// The store's revision.
         as_of: u64,
-        /// Before the list was asked for, by the clock that counts suspended time.
+        /// A time before the list was requested, by the clock that includes suspended time.
         asked: MonoTime,
     },
     /// An object was created or changed.
     Changed {
-        /// As it is now.
+        /// The object after the change.
         object: &'a StoreObject,
     },
     /// An object was deleted.
     Deleted {
-        /// As it was.
+        /// The object before the deletion.
         object: &'a StoreObject,
-        /// A revision of the store at which it was gone.
+        /// A revision of the store at which the object was gone.
         as_of: u64,
     },
 }
--- a/crates/entry/src/store/forwarding.rs
+++ b/crates/entry/src/store/forwarding.rs
@@ -1,8 +1,8 @@
-//! Which way calls to the store go while the store turns this VM away.
+//! Forwards calls through another gateway while the store is unreachable from this VM.
 //!
-//! A store that refuses or doesn't reach a part of the VMs is of use to all as long as one gateway
-//! reaches it. Without this, jobs sent to the others were refused or of unknown fate, and results of
-//! the jobs they run weren't stored until it was over.
+//! As long as one gateway reaches the store, all can use it. Without forwarding, jobs submitted to
+//! a gateway that is cut off from the store are refused or have an unknown outcome, and the results
+//! of its jobs stay unstored until the store is reachable again.
 
 use std::time::Duration;
 
@@ -14,49 +14,50 @@
     store::reply::{StoreFailure, StoreReply},
 };
 
-/// One call to be made by another gateway.
+/// A call to be made by another gateway.
 #[derive(Debug)]
 pub struct ForwardedCall {
-    /// Method of the call.
+    /// HTTP method.
     pub method: String,
-    /// Its path.
+    /// HTTP path.
     pub path: String,
-    /// Its body.
+    /// Body, if any.
     pub body: Option<Vec<u8>>,
-    /// Longest wait for the store's answer.
+    /// Maximum wait for the store's answer.
     pub wait: Duration,
-    /// Where the end goes; `None` when no gateway could be asked.
+    /// Receives the outcome, or `None` if no gateway could be asked.
     pub end: Sender<Option<Result<StoreReply, StoreFailure>>>,
 }
 
-/// Which way a call goes.
+/// How a call is routed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallRouting {
     /// From this VM.
     Direct,
-    /// From this VM, and through another gateway if it is turned away.
+    /// From this VM, and through another gateway if the store refuses it.
     DirectFirst,
-    /// Through another gateway, and from this VM if none can be asked.
+    /// Through another gateway, and from this VM if no gateway can be asked.
     Forwarded,
 }
 
-/// Whether calls go through another gateway.
+/// Decides whether calls go through another gateway.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ForwardingState {
-    /// When a call is tried directly again.
+    /// When a call is next tried directly.
     direct_at: MonoTime,
-    /// No other gateway could help: not asked again before then.
-    useless_until: MonoTime,
+    /// Until when other gateways are not asked, as none could help.
+    unavailable_until: MonoTime,
 }
 
 impl ForwardingState {
-    /// Which way a call at `now` goes. `down_since` is when the store stopped answering directly.
+    /// How a call at `now` is routed. `down_since` is when the store stopped answering directly.
     pub fn way(&mut self, down_since: Option<MonoTime>, now: MonoTime) -> CallRouting {
         let Some(since) = down_since else { return CallRouting::Direct };
-        if now.since(since) < DETOUR_AFTER || now < self.useless_until {
+        if now.since(since) < DETOUR_AFTER || now < self.unavailable_until {
             return CallRouting::Direct;
         }
-        // Nothing else tells that the store answers again: its watches may wait for half a minute.
+        // Only a direct call shows soon that the store answers again: a watch may wait for half a
+        // minute.
         if now >= self.direct_at {
             self.direct_at = now + DETOUR_LONGEST;
             return CallRouting::DirectFirst;
@@ -64,10 +65,10 @@
         CallRouting::Forwarded
     }
 
-    /// Another gateway was asked at `now`, and whether that helped.
-    pub fn note_end(&mut self, has_helped: bool, now: MonoTime) {
-        if !has_helped {
-            self.useless_until = now + DETOUR_PAUSE;
+    /// Records that another gateway was asked at `now`, and whether that helped.
+    pub fn note_end(&mut self, was_answered: bool, now: MonoTime) {
+        if !was_answered {
+            self.unavailable_until = now + DETOUR_PAUSE;
         }
     }
 }
--- a/crates/entry/src/store/outage.rs
+++ b/crates/entry/src/store/outage.rs
@@ -1,29 +1,29 @@
-//! Whether the store answers.
+//! Tracks whether the store answers.
 
 use notch_types::prelude::*;
 
 use crate::constants::{LAPSE_GRACE, LAPSE_OUTAGE};
 
-/// Whether the store answers, and when it last came back.
+/// Whether the store answers, and when it last recovered.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct StoreOutage {
-    /// Since when no call was answered; `None` while it answers.
+    /// When calls began to fail; `None` while the store answers.
     down_since: Option<MonoTime>,
-    /// When it came back from an outage in which entries may have lapsed.
+    /// Until when a missing entry may have lapsed only because of an outage.
     lapsed_until: MonoTime,
 }
 
-/// A change worth a log line.
+/// A change of the store's state, to be logged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OutageChange {
     /// The store stopped answering.
     Lost,
-    /// It answers again.
+    /// The store answers again.
     Regained,
 }
 
 impl StoreOutage {
-    /// A call was answered.
+    /// Records that a call was answered.
     pub fn note_answer(&mut self, now: MonoTime) -> Option<OutageChange> {
         let since = self.down_since.take()?;
         if now.since(since) >= LAPSE_OUTAGE {
@@ -32,7 +32,7 @@
         Some(OutageChange::Regained)
     }
 
-    /// A call was not answered, or refused as done by nobody.
+    /// Records that a call was not answered, or that the store refused it.
     pub fn note_failure(&mut self, now: MonoTime) -> Option<OutageChange> {
         if self.down_since.is_some() {
             return None;
@@ -41,17 +41,17 @@
         Some(OutageChange::Lost)
     }
 
-    /// Whether the store answers as far as is known.
+    /// Whether the store answers, as far as is known.
     pub fn is_up(&self) -> bool {
         self.down_since.is_none()
     }
 
-    /// Since when no call was answered; `None` while the store answers.
+    /// When calls began to fail; `None` while the store answers.
     pub fn down_since(&self) -> Option<MonoTime> {
         self.down_since
     }
 
-    /// Until when an entry that is gone may only have lapsed in an outage.
+    /// Until when a missing entry may have lapsed only because of an outage.
     pub fn lapsed_until(&self) -> MonoTime {
         self.lapsed_until
     }
--- a/crates/entry/src/store/reply.rs
+++ b/crates/entry/src/store/reply.rs
@@ -1,9 +1,9 @@
-//! How calls to the store end.
+//! Outcomes of calls to the store.
 
-/// Why a call brought nothing.
+/// Why a call failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreFailure {
-    /// Surely not done: not sent, or turned away.
+    /// Certainly not done: not sent, or refused.
     NotDone,
     /// Sent and not answered: it may have been done, or be done seconds later.
     Unknown,
@@ -19,10 +19,10 @@
     }
 }
 
-/// What the store answered.
+/// An answer by the store.
 #[derive(Debug)]
 pub struct StoreReply {
-    /// The status: 2xx, 404, 409 or 410.
+    /// HTTP status: 2xx, 404, 409 or 410.
     pub status: u16,
     /// The body.
     pub body: Vec<u8>,
--- a/crates/entry/src/store/retry.rs
+++ b/crates/entry/src/store/retry.rs
@@ -1,4 +1,4 @@
-//! Calls to the store that are tried until they are answered.
+//! Retries of calls to the store.
 
 use std::{future::Future, time::Duration};
 
@@ -6,7 +6,7 @@
 
 use crate::{constants::STORE_PAUSE, store::reply::StoreFailure};
 
-/// Tries a call until the store answers it; `None` once it isn't needed any more.
+/// Retries a call until the store answers it. Returns `None` once `is_needed` returns false.
 pub async fn until_answered<T, F>(
     is_needed: impl Fn() -> bool,
     mut call: impl FnMut() -> F,
@@ -23,8 +23,8 @@
     None
 }
 
-/// A pause of half of `longest` to all of it, so that VMs that lost the store together don't come
-/// back in step.
+/// A random pause between half of `longest` and all of it, so that VMs that lost the store together
+/// do not retry in step.
 pub fn jittered(longest: Duration) -> Duration {
     longest.mul_f64(0.5 + 0.5 * rand::random::<f64>())
 }
--- a/crates/entry/src/store/target.rs
+++ b/crates/entry/src/store/target.rs
@@ -1,4 +1,4 @@
-//! Target entries from the store and from other gateways, the newer ones in force.
+//! Merges target entries from the store and from other gateways; the newer ones take precedence.
 
 use std::cmp::Ordering;
 
@@ -6,28 +6,28 @@
 use notch_relay::prelude::*;
 use notch_types::prelude::*;
 
-/// Entries in one part of what is told to another gateway, at most: some 40 KB.
-const PART_ENTRIES: usize = 256;
-/// Entries that are gone and still remembered, at most. A gateway that is further behind than these reach
-/// back is sent the whole list.
-const GONE_KEPT: usize = 4_096;
+/// Maximum number of entries in one part of a message to another gateway, which makes about 40 KB.
+const MAX_PART_ENTRIES: usize = 256;
+/// Maximum number of removed entries that are remembered. A gateway that lags further behind is
+/// sent the complete list.
+const MAX_REMOVED_ENTRIES: usize = 4_096;
 
 /// What is known of one target's entry.
 #[derive(Debug, Clone)]
 struct KnownEntry {
-    /// Of the last change that counted.
+    /// Revision of the last change that was applied.
     revision: u64,
-    /// Incarnation of the last start known, which stays known after the entry is gone: a write of an
-    /// earlier start that comes late must not bring that one back.
+    /// Incarnation of the latest known start of the target. It is kept after the entry is removed,
+    /// so that a delayed write by an earlier start does not bring that one back.
     born: u64,
-    /// `None` when it is gone.
+    /// `None` if the entry was removed.
     entry: Option<TargetEntry>,
-    /// Revision of the whole feed when this change was taken. Invariant: at least `revision`.
-    taken_at: u64,
+    /// Revision of the complete feed when this change was applied. Invariant: at least `revision`.
+    applied_at: u64,
 }
 
 impl KnownEntry {
-    /// Its part in the digest of the feed.
+    /// Contribution to the digest of the feed.
     fn digest(&self) -> u64 {
         let Some(entry) = &self.entry else { return 0 };
         let state = match entry.state {
@@ -38,19 +38,19 @@
     }
 }
 
-/// The parts of an answer about targets that came so far.
+/// Collects the parts of another gateway's message about targets.
 #[derive(Debug, Default)]
-struct ChangeParts {
+struct PartialChanges {
     since: u64,
     as_of: u64,
-    /// Number of the part that comes next.
+    /// Number of the next part.
     next: u32,
     entries: Vec<VersionedTarget>,
     gone: Vec<GoneTarget>,
 }
 
-impl ChangeParts {
-    /// Adds a part; the whole once it's complete.
+impl PartialChanges {
+    /// Adds a part. Returns the complete message once all parts have arrived.
     fn add(&mut self, changes: TargetChanges) -> Option<TargetChanges> {
         if changes.part == 0 && changes.is_last {
             return Some(changes);
@@ -74,70 +74,71 @@
     }
 }
 
-/// An entry that went missing after an outage of the store.
+/// An entry that was missing after an outage of the store.
 #[derive(Debug, Clone, Copy)]
 struct LapsingEntry {
-    /// When it counts as gone.
+    /// When the entry counts as removed.
     until: MonoTime,
-    /// Revision at which it was missing.
+    /// Revision at which the entry was missing.
     as_of: u64,
 }
 
-/// A change for the table of targets.
+/// A change of the table of targets.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TargetChange {
-    /// The entry is this now.
+    /// Adds or replaces an entry.
     Put(TargetEntry),
-    /// The target has started again: the start `before` is over.
+    /// Replaces a target that has started again; its earlier instance `before` is gone.
     Restart {
-        /// Id of the earlier start.
+        /// Id of the earlier instance.
         before: String,
-        /// The entry of the later one.
+        /// Entry of the later instance.
         entry: TargetEntry,
     },
-    /// The entry of the start with this id is gone.
+    /// Removes the entry of the instance with this id.
     Remove(String),
 }
 
 /// Target entries by revision.
 ///
-/// They come from a watch of the store and from other gateways, in any order. A gateway whose
-/// watch is cut would go on sending to targets that leave; an older word that comes late would
-/// bring a target back that has left. So each entry has the revision of its last change, and only
-/// a higher one counts. A target that starts again under its name may find a write of its earlier
-/// start done after its own, so the later start counts before the higher revision.
+/// Entries arrive from a watch of the store and from other gateways, in any order. A gateway whose
+/// watch fails must not keep sending to targets that have left, and an outdated message must not
+/// bring a target back that has left. So each entry has the revision of its last change, and only a
+/// higher one replaces it. If a target starts again under the same name, a write by its earlier
+/// instance may take effect after one by the later instance, so the later start takes precedence
+/// over the higher revision.
 #[derive(Debug, Default)]
 pub struct TargetFeed {
     /// By the target's name.
     known: FastMap<String, KnownEntry>,
-    /// Entries that could not be read, by name, with the revision of the change that was told last.
+    /// Entries that cannot be decoded, by name, with the revision that was reported last.
     unreadable: FastMap<String, u64>,
-    /// Highest revision of any change taken.
+    /// Highest revision of any change applied.
     revision: u64,
-    /// Whether a whole list was taken.
+    /// Whether a complete list was applied.
     is_whole: bool,
-    /// Every change after this revision is known here, also those that removed an entry.
+    /// Every change after this revision is known here, including removals.
     complete_from: u64,
-    /// Combined digests of all entries that are there.
+    /// XOR of the digests of all present entries.
     digest: u64,
-    /// What another gateway is sending.
-    parts: ChangeParts,
-    /// Entries that went missing after an outage of the store, and when they count as gone.
+    /// Parts of the message that another gateway is sending.
+    parts: PartialChanges,
+    /// Entries that were missing after an outage of the store, and when they count as removed.
     lapsing: FastMap<String, LapsingEntry>,
 }
 
 impl TargetFeed {
-    /// Whether a whole list was taken, so that what isn't known isn't there.
+    /// Whether a complete list was applied, so that a target that is not known does not exist.
     pub fn is_whole(&self) -> bool {
         self.is_whole
     }
 
-    /// Highest revision of any change taken.
+    /// Highest revision of any change applied.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// An entry as it was at `revision`.
+    /// Applies an entry as of `revision`.
     pub fn put(&mut self, entry: TargetEntry, revision: u64) -> Option<TargetChange> {
         let name = entry.name.clone();
         let born = entry.born;
@@ -157,10 +158,10 @@
         self.lapsing.remove(&name);
         self.unreadable.remove(&name);
         self.revision = self.revision.max(revision);
-        let taken_at = self.revision;
+        let applied_at = self.revision;
         self.record(
             name,
-            KnownEntry { revision: newest, born, entry: Some(entry.clone()), taken_at },
+            KnownEntry { revision: newest, born, entry: Some(entry.clone()), applied_at },
         );
         Some(match before {
             Some(before) => TargetChange::Restart { before, entry },
@@ -168,16 +169,17 @@
         })
     }
 
-    /// The entry `name` can't be read as it was at `revision`: it names no target to use until it can
-    /// be. Whether this change of it is news, for the log.
+    /// Handles an entry that cannot be decoded at `revision`: the target is removed until its entry
+    /// is valid again. Also returns whether this revision is new, and so should be logged.
     pub fn refuse(&mut self, name: &str, revision: u64) -> (bool, Option<TargetChange>) {
-        let told = self.unreadable.insert(name.to_owned(), revision);
+        let received = self.unreadable.insert(name.to_owned(), revision);
         let change = self.remove(name, revision, MonoTime::default(), MonoTime::default());
-        (told != Some(revision), change)
+        (received != Some(revision), change)
     }
 
-    /// An entry was gone at `as_of`. While entries may only have lapsed in an outage of the store,
-    /// until `lapsed_until`, it stays in use; the target registers again if it lives.
+    /// Removes an entry that was gone at `as_of`. Before `lapsed_until`, entries may only have
+    /// lapsed because of an outage of the store: a ready target stays in use, and registers again
+    /// if it is alive.
     pub fn remove(
         &mut self,
         name: &str,
@@ -191,8 +193,8 @@
         }
         let entry = known.entry.as_ref()?;
         if now < lapsed_until && entry.state == TargetState::Ready {
-            // Its revision stays: passed on as a newer word, it would bring the target back on
-            // gateways that know it has left.
+            // The entry keeps its revision. Passed on with a newer one, it would bring the target
+            // back on gateways that know it has left.
             let lapse = LapsingEntry { until: lapsed_until, as_of };
             self.lapsing.entry(name.to_owned()).or_insert(lapse);
             return None;
@@ -200,13 +202,13 @@
         let (id, born) = (entry.id.clone(), known.born);
         self.lapsing.remove(name);
         self.revision = self.revision.max(as_of);
-        let taken_at = self.revision;
-        self.record(name.to_owned(), KnownEntry { revision: as_of, born, entry: None, taken_at });
-        self.forget_gone();
+        let applied_at = self.revision;
+        self.record(name.to_owned(), KnownEntry { revision: as_of, born, entry: None, applied_at });
+        self.evict_removed();
         Some(TargetChange::Remove(id))
     }
 
-    /// A whole list as of a revision: what it doesn't name was gone by then.
+    /// Applies a complete list as of a revision. Entries that are not in it were gone by then.
     pub fn apply_list(
         &mut self,
         entries: Vec<(TargetEntry, u64)>,
@@ -226,14 +228,14 @@
         for name in missing {
             changes.extend(self.remove(&name, as_of, lapsed_until, now));
         }
-        // Of an entry that may only have lapsed the others may know more.
+        // Other gateways may know more about an entry that is missing here after an outage.
         if self.lapsing.is_empty() {
             self.revision = self.revision.max(as_of);
         }
         changes
     }
 
-    /// Entries whose time to come back is over.
+    /// Removes missing entries whose time to come back is over.
     pub fn expire(&mut self, now: MonoTime) -> Vec<TargetChange> {
         let over = self.lapsing.iter().filter(|(_, lapse)| lapse.until <= now);
         let over: Vec<(String, u64)> =
@@ -244,25 +246,26 @@
         gone.collect()
     }
 
-    /// Revision that a gateway which knows more should tell the changes since; 0 before a whole list.
+    /// Revision since which another gateway should send changes; 0 before a complete list was applied.
     pub fn known_since(&self) -> u64 {
         if self.is_whole { self.revision } else { 0 }
     }
 
-    /// Digest over the entries that are there, whatever the order in which they were heard of.
+    /// Digest of the present entries, independent of the order in which they arrived.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// What a gateway has to be told that knows everything up to `since`, in parts: the changes since, or
-    /// the whole list where they aren't known any more. Nothing before a whole list is known here.
+    /// Messages, in parts, for a gateway that knows everything up to `since`: the changes since, or
+    /// the complete list if the changes are no longer known. Empty until a complete list is known here.
     pub fn changes_since(&self, since: u64) -> Vec<TargetChanges> {
         if !self.is_whole {
             return Vec::new();
         }
         let since = if since < self.complete_from { 0 } else { since };
-        // A change that came late was taken at a revision that others had reached without it.
-        let named = self.known.iter().filter(|(_, known)| since == 0 || known.taken_at >= since);
+        // A change that arrived late was applied at a revision that others had reached without it,
+        // hence `>=`.
+        let named = self.known.iter().filter(|(_, known)| since == 0 || known.applied_at >= since);
         let (mut entries, mut gone) = (Vec::new(), Vec::new());
         for (name, known) in named {
             let KnownEntry { revision, born, .. } = *known;
@@ -272,66 +275,72 @@
                 None => {}
             }
         }
-        self.in_parts(since, entries, gone)
+        self.split_into_parts(since, entries, gone)
     }
 
-    /// Takes what another gateway tells of changes; nothing before their last part.
+    /// Applies changes from another gateway once their last part has arrived.
     ///
-    /// Changes since a later revision than is known here would hide those in between, so they aren't
-    /// taken: the versions in the other's reports tell that something is missing.
+    /// Changes since a later revision than is known here are ignored, as applying them would hide
+    /// those in between. The versions in the other gateway's reports show that something is
+    /// missing.
     pub fn apply_changes(&mut self, changes: TargetChanges, now: MonoTime) -> Vec<TargetChange> {
-        let Some(whole) = self.parts.add(changes) else { return Vec::new() };
-        if whole.since > self.known_since() {
+        let Some(complete) = self.parts.add(changes) else { return Vec::new() };
+        if complete.since > self.known_since() {
             return Vec::new();
         }
-        let entries = whole.entries.into_iter().map(|told| (told.entry, told.revision)).collect();
-        if whole.since == 0 {
-            // A gateway that still waits for lapsed entries lists them: what it doesn't list has left.
-            return self.apply_list(entries, whole.as_of, MonoTime::default(), now);
+        let entries = complete
+            .entries
+            .into_iter()
+            .map(|received| (received.entry, received.revision))
+            .collect();
+        if complete.since == 0 {
+            // A gateway that waits for lapsed entries includes them in its list, so one that is not
+            // listed has left.
+            return self.apply_list(entries, complete.as_of, MonoTime::default(), now);
         }
-        let gone = whole.gone.into_iter().filter(|gone| !self.is_later_start(gone));
+        let gone = complete.gone.into_iter().filter(|gone| !self.is_later_start_known(gone));
         let gone: Vec<GoneTarget> = gone.collect();
-        let mut taken: Vec<TargetChange> =
+        let mut applied: Vec<TargetChange> =
             entries.into_iter().filter_map(|(entry, revision)| self.put(entry, revision)).collect();
         let removed = gone.into_iter().filter_map(|gone| self.apply_removal(gone, now));
-        taken.extend(removed);
-        self.revision = self.revision.max(whole.as_of);
-        taken
+        applied.extend(removed);
+        self.revision = self.revision.max(complete.as_of);
+        applied
     }
 
-    /// Takes another gateway's word that an entry is gone. One that was never known here is remembered all
-    /// the same: a gateway that asks for changes may know it.
+    /// Applies a removal reported by another gateway. The removal of an unknown entry is remembered
+    /// too, for gateways that know the entry and ask for changes.
     fn apply_removal(&mut self, gone: GoneTarget, now: MonoTime) -> Option<TargetChange> {
         let GoneTarget { name, born, revision } = gone;
         if self.known.contains_key(&name) {
             return self.remove(&name, revision, MonoTime::default(), now);
         }
-        let taken_at = self.revision.max(revision);
-        self.record(name, KnownEntry { revision, born, entry: None, taken_at });
-        self.forget_gone();
+        let applied_at = self.revision.max(revision);
+        self.record(name, KnownEntry { revision, born, entry: None, applied_at });
+        self.evict_removed();
         None
     }
 
-    /// Whether a later start is known than the one that is said to be gone.
-    fn is_later_start(&self, gone: &GoneTarget) -> bool {
+    /// Whether a later start of the target is known than the removed one.
+    fn is_later_start_known(&self, gone: &GoneTarget) -> bool {
         self.known.get(&gone.name).is_some_and(|known| known.born > gone.born)
     }
 
-    fn in_parts(
+    fn split_into_parts(
         &self,
         since: u64,
         entries: Vec<VersionedTarget>,
         gone: Vec<GoneTarget>,
     ) -> Vec<TargetChanges> {
-        let count = entries.len().max(gone.len()).div_ceil(PART_ENTRIES).max(1);
+        let count = entries.len().max(gone.len()).div_ceil(MAX_PART_ENTRIES).max(1);
         let (mut entries, mut gone) = (entries.into_iter(), gone.into_iter());
         let parts = (0..count).map(|part| TargetChanges {
             since,
             as_of: self.revision,
             part: part as u32,
             is_last: part + 1 == count,
-            entries: entries.by_ref().take(PART_ENTRIES).collect(),
-            gone: gone.by_ref().take(PART_ENTRIES).collect(),
+            entries: entries.by_ref().take(MAX_PART_ENTRIES).collect(),
+            gone: gone.by_ref().take(MAX_PART_ENTRIES).collect(),
         });
         parts.collect()
     }
@@ -343,18 +352,18 @@
         }
     }
 
-    /// Forgets the entries that have been gone for longest, half of them at once.
-    fn forget_gone(&mut self) {
+    /// Forgets the oldest half of the remembered removals once there are too many.
+    fn evict_removed(&mut self) {
         let gone = self.known.iter().filter(|(_, known)| known.entry.is_none());
-        if gone.clone().count() <= GONE_KEPT {
+        if gone.clone().count() <= MAX_REMOVED_ENTRIES {
             return;
         }
         let mut gone: Vec<(u64, String)> =
-            gone.map(|(name, known)| (known.taken_at, name.clone())).collect();
+            gone.map(|(name, known)| (known.applied_at, name.clone())).collect();
         gone.sort_unstable();
-        gone.truncate(GONE_KEPT / 2);
-        for (taken_at, name) in gone {
-            self.complete_from = self.complete_from.max(taken_at + 1);
+        gone.truncate(MAX_REMOVED_ENTRIES / 2);
+        for (applied_at, name) in gone {
+            self.complete_from = self.complete_from.max(applied_at + 1);
             self.known.remove(&name);
         }
     }
