--- a/crates/entry/src/batch/bodies.rs
+++ b/crates/entry/src/batch/bodies.rs
@@ -36,11 +36,8 @@
     if let Some(read) = local_item(node, job, account, item) {
         return read;
     }
-    if let Some(answer_body) = ask_owner(node, job, account, item).await {
-        return ReadAnswer {
-            answer: body_answer(answer_body.as_deref()),
-            source: ReadSource::Peer,
-        };
+    if let Some(reply) = ask_owner(node, job, account, item).await {
+        return ReadAnswer { answer: body_answer(reply.as_deref()), source: ReadSource::Peer };
     }
     let mut copy = node.jobs().cache.get(job).cloned().unwrap_or_default();
     match load_job(node, job, &mut copy).await {
@@ -91,7 +88,7 @@
     let question = |call| PeerMessage::BodyAsk { call, job, item, account };
     let send = |call| node.peers.send_to_owner(&owner, question(call));
     match node.peers.body_calls.ask(send, BODY_ASK).await {
-        CallEnd::Answered(answer_body) if answer_body.is_known => Some(answer_body.body),
+        CallEnd::Answered(reply) if reply.is_known => Some(reply.body),
         CallEnd::Answered(_) | CallEnd::NotSent | CallEnd::Unanswered => None,
     }
 }
@@ -104,7 +101,7 @@
     (job, item): (&str, &str),
     account: &str,
 ) {
-    let answer_body = {
+    let reply = {
         let registry = node.jobs();
         let spec = registry.table.get(job).map(OwnedJob::spec);
         spec.map(|spec| {
@@ -113,10 +110,10 @@
         })
     };
     // A body that is too large for a message has to be read from the store.
-    let answer_body = answer_body
-        .filter(|body| body.as_ref().is_none_or(|body| body.len() <= MAX_PEER_BODY_BYTES));
-    let is_known = answer_body.is_some();
-    node.peers.send(peer, PeerMessage::BodyTold { call, is_known, body: answer_body.flatten() });
+    let reply =
+        reply.filter(|body| body.as_ref().is_none_or(|body| body.len() <= MAX_PEER_BODY_BYTES));
+    let is_known = reply.is_some();
+    node.peers.send(peer, PeerMessage::BodyTold { call, is_known, body: reply.flatten() });
 }
 
 /// Delivers another gateway's answer to the waiting read.
--- a/crates/entry/tests/frozen_owner.rs
+++ b/crates/entry/tests/frozen_owner.rs
@@ -1,4 +1,4 @@
-//! A gateway's process that stands still while others take its jobs over.
+//! A gateway process that is suspended while other gateways take its jobs over.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -13,15 +13,16 @@
 use notch_soak::{config::gateway_config, process::GatewayProcess};
 use rustix::process::Signal;
 
-/// Longest wait for anything: far above what is expected on a busy machine.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// Reads sent at once to a process that goes on: some are answered before it has read what its links brought.
-const READS: usize = 8;
+/// Timeout of each wait, far above the expected duration on a busy machine.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Number of concurrent reads sent to the resumed process. Some are answered before it has read
+/// what arrived on its links.
+const CONCURRENT_READS: usize = 8;
 
 async fn until<F: Future<Output = bool>>(what: &str, check: impl Fn() -> F) {
     let began = std::time::Instant::now();
     while !check().await {
-        assert!(began.elapsed() < PATIENCE, "waited in vain for {what}");
+        assert!(began.elapsed() < WAIT_TIMEOUT, "timed out waiting for {what}");
         task::sleep(Duration::from_millis(20)).await;
     }
 }
@@ -36,20 +37,21 @@
     process
 }
 
-async fn shown(client: StandInClient, job: &str) -> usize {
+async fn results_shown(client: StandInClient, job: &str) -> usize {
     seen_results(&client.results(job, 0).await.1).0.len()
 }
 
 mod former_owner {
     use super::*;
 
-    /// A reader had been shown two results and was told by another gateway that there was no second one. That
-    /// gateway's process had stood still for two seconds, in which the others took its job over and closed it.
-    /// When it went on, its links still looked up to it, for it counted only how long a link had been down, and
-    /// it had not yet read that the others had closed them: it answered from its old list,
-    /// `200 {"next": 1, "results": [], "total": 2}`, before it logged `gateway_link_down`.
+    /// Guards against a resumed gateway that tells a reader there is no second result although the
+    /// reader was shown two before. The process was suspended for two seconds, in which the other
+    /// gateways took its job over and closed it. After it resumed, its links still looked up to it,
+    /// as it counted only how long a link had been down and had not yet read that the others had
+    /// closed them. Before it logged `gateway_link_down` it answered from its outdated list,
+    /// `200 {"next": 1, "results": [], "total": 2}`.
     #[test]
-    fn a_gateway_that_stood_still_is_not_sure_of_its_list() {
+    fn a_resumed_gateway_does_not_answer_from_its_outdated_list() {
         task::block_on(async {
             let target = StandInTarget::start("t-1").await;
             target.conduct(&[Conduct::Whole, Conduct::Slow(600_000)]);
@@ -58,14 +60,18 @@
             let second = gateway("g-2", &store);
             let [at_first, at_second] =
                 [&first, &second].map(|process| StandInClient { address: process.clients });
-            until("the first one's start", || async { at_first.submit("j1", 2).await == 202 })
-                .await;
-            until("the first result", || async { shown(at_first, "j1").await == 1 }).await;
-            until("the other one's part in it", || async { shown(at_second, "j1").await == 1 })
-                .await;
+            until("the first gateway to accept the job", || async {
+                at_first.submit("j1", 2).await == 202
+            })
+            .await;
+            until("the first result", || async { results_shown(at_first, "j1").await == 1 }).await;
+            until("the result at the other gateway", || async {
+                results_shown(at_second, "j1").await == 1
+            })
+            .await;
             first.signal(Signal::STOP);
-            until("all results", || async { shown(at_second, "j1").await == 2 }).await;
-            let reads: Vec<_> = (0..READS)
+            until("all results", || async { results_shown(at_second, "j1").await == 2 }).await;
+            let reads: Vec<_> = (0..CONCURRENT_READS)
                 .map(|_| task::spawn(async move { at_first.results("j1", 1).await }))
                 .collect();
             task::sleep(Duration::from_millis(200)).await;
--- a/crates/entry/tests/job_cache.rs
+++ b/crates/entry/tests/job_cache.rs
@@ -1,4 +1,4 @@
-//! Copies of jobs for readers.
+//! The cache of jobs for readers.
 
 use std::sync::Arc;
 
@@ -17,40 +17,40 @@
     copy
 }
 
-/// Symptom: a job is said to have no items, or a result that was read isn't there any more. Sequence:
-/// a reader takes a job's copy and asks the owner for more; other jobs' results push the copy out;
-/// the owner answers with what follows. Cause: the answer was joined to the copy held by then, which
-/// was a new and empty one, and the reader was answered from that.
+/// Guards against a read that shows a job without items or without a result that was shown before.
+/// A reader takes the cached copy of a job and asks the owner for more; results of other jobs evict
+/// the copy; the owner answers with the results that follow. The answer was then appended to a new,
+/// empty copy, and the reader was answered from that.
 #[test]
-fn a_copy_dropped_meanwhile_leaves_no_gap() {
-    let mut copies = JobCache::default();
-    copies.keep("j1", copy(vec![line(0, 9), line(1, 9)]));
-    let mut taken = copies.get("j1").cloned().expect("it is held");
+fn a_copy_evicted_during_a_read_leaves_no_gap() {
+    let mut cache = JobCache::default();
+    cache.keep("j1", copy(vec![line(0, 9), line(1, 9)]));
+    let mut gathered = cache.get("j1").cloned().expect("the job is cached");
     for other in 0..3 {
-        copies.keep(&format!("other {other}"), copy(vec![line(0, 3 << 20)]));
+        cache.keep(&format!("other {other}"), copy(vec![line(0, 3 << 20)]));
     }
-    assert!(copies.get("j1").is_none(), "dropped for want of memory");
-    taken.extend(2, &[line(2, 9)], true);
-    copies.keep("j1", taken);
-    let held = copies.get("j1").expect("it is held again");
+    assert!(cache.get("j1").is_none(), "evicted to free memory");
+    gathered.extend(2, &[line(2, 9)], true);
+    cache.keep("j1", gathered);
+    let held = cache.get("j1").expect("the job is cached again");
     assert_eq!(held.lines.len(), 3);
     assert_eq!(held.total, Some(9));
 }
 
 #[test]
-fn a_shorter_copy_changes_nothing() {
-    let mut copies = JobCache::default();
-    copies.keep("j1", copy(vec![line(0, 9), line(1, 9)]));
-    copies.keep("j1", copy(vec![line(0, 9)]));
-    let held = copies.get("j1").expect("it is held");
+fn a_shorter_copy_replaces_nothing() {
+    let mut cache = JobCache::default();
+    cache.keep("j1", copy(vec![line(0, 9), line(1, 9)]));
+    cache.keep("j1", copy(vec![line(0, 9)]));
+    let held = cache.get("j1").expect("the job is cached");
     assert_eq!((held.lines.len(), held.chunk_end), (2, 2));
 }
 
 #[test]
-fn lines_held_already_are_passed_over() {
+fn lines_held_already_are_skipped() {
     let mut copy = copy(vec![line(0, 9), line(1, 9)]);
     copy.extend(1, &[line(1, 9), line(2, 9)], true);
     assert_eq!(copy.lines.len(), 3);
     copy.extend(7, &[line(7, 9)], true);
-    assert_eq!((copy.lines.len(), copy.chunk_end), (3, 3), "a gap is not filled by guessing");
+    assert_eq!((copy.lines.len(), copy.chunk_end), (3, 3), "lines after a gap are not appended");
 }
--- a/crates/entry/tests/job_registry.rs
+++ b/crates/entry/tests/job_registry.rs
@@ -1,4 +1,4 @@
-//! What a gateway holds of jobs.
+//! A gateway's in-memory state of jobs.
 
 use std::{sync::Arc, time::Duration};
 
@@ -37,23 +37,23 @@
     OwnedJob::new(Arc::new(spec), listed.iter().map(line).collect(), Now::at_millis(0))
 }
 
-/// Symptom: a result that was read isn't there any more. Sequence: a client ends a job while results
-/// are being stored; another gateway reads them from the store; the former owner is asked. Cause: the
-/// former owner took its list for whole because the job had ended.
+/// Guards against a result that disappears after it was read. A client ends a job while results are
+/// being stored; another gateway reads them from the store; then the former owner is asked. It
+/// treated its list as complete because the job had ended.
 #[test]
-fn an_ended_jobs_list_is_not_taken_for_whole() {
+fn an_ended_jobs_list_is_not_treated_as_complete() {
     let mut registry = JobRegistry::default();
     assert!(registry.own_job(job(&["0"])));
     registry.retire_job("j1");
-    let held = registry.cache.get("j1").expect("it is held");
-    assert!(!held.is_whole(), "a write of results may be under way");
+    let held = registry.cache.get("j1").expect("the job is cached");
+    assert!(!held.is_whole(), "a write of results may be in progress");
 }
 
-/// Symptom: items run seconds after their job was ended. Sequence: a job is sent twice while the store
-/// is slow; the first one is accepted and ended; then the second one's write turns out as ours. Cause:
-/// the job was begun anew.
+/// Guards against items that run seconds after their job was ended. A job is submitted twice while
+/// the store is slow; the first submission is accepted and ended; then the second one's write turns
+/// out to name this gateway as the owner. The job was started again.
 #[test]
-fn an_ended_job_does_not_begin_again() {
+fn an_ended_job_does_not_start_again() {
     let mut registry = JobRegistry::default();
     assert!(registry.own_job(job(&[])));
     registry.note_ended("j1", MonoTime::default());
@@ -70,17 +70,20 @@
     assert_eq!(registry.table.get("j1").map(|job| job.results().len()), Some(1));
 }
 
-/// Symptom: a gateway's memory grows from day to day. Sequence: jobs are closed and ended elsewhere,
-/// thousands a day. Cause: their owners and ends were kept for good.
+/// Guards against memory that grows from day to day. Jobs are closed and ended at other gateways,
+/// thousands a day; their owners and ends were kept forever.
 #[test]
-fn done_jobs_are_forgotten_in_the_end() {
+fn done_jobs_are_dropped_eventually() {
     let at = MonoTime::from_millis;
     let mut registry = JobRegistry::default();
     registry.note_owner(&["closed".to_owned(), "open".to_owned()], "g-2#1");
     registry.note_closed("closed", at(1_000));
     registry.note_ended("ended", at(2_000));
     registry.forget_done(at(1_000));
-    assert!(registry.is_known("closed") && registry.is_ended("ended"), "not yet");
+    assert!(
+        registry.is_known("closed") && registry.is_ended("ended"),
+        "kept until the retention time is over"
+    );
     registry.forget_done(at(2_001));
     assert!(!registry.is_known("closed") && !registry.is_ended("ended"));
     assert!(registry.is_known("open"));
--- a/crates/entry/tests/soak.rs
+++ b/crates/entry/tests/soak.rs
@@ -9,9 +9,9 @@
 #[rstest]
 #[case(1)]
 #[case(2)]
-// An accepted job was run by nobody: a read of it came before its acceptance was settled.
+// An accepted job was run by no gateway: it was read before its acceptance was settled.
 #[case(324)]
-fn a_short_soak_breaks_no_promise(#[case] seed: u64) {
+fn a_short_soak_breaks_no_guarantee(#[case] seed: u64) {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("soak-{seed}"));
     let settings = SoakSettings {
         seed,
@@ -22,5 +22,5 @@
     };
     let report = task::block_on(run_soak(&settings)).expect("the gateways start");
     assert_eq!(report.broken, [], "faults: {:#?}", report.faults);
-    assert!(report.jobs > 0 && report.requests > 0, "nothing was tried: {report:?}");
+    assert!(report.jobs > 0 && report.requests > 0, "no load was generated: {report:?}");
 }
--- a/crates/entry/tests/target_spread.rs
+++ b/crates/entry/tests/target_propagation.rs
@@ -1,4 +1,5 @@
-//! How changes of targets reach hundreds of gateways, as values: bytes, order, loss and repetition.
+//! Propagation of target changes to hundreds of gateways without a network: size, order, loss and
+//! repetition of messages.
 
 use std::time::Duration;
 
@@ -41,7 +42,7 @@
 
 fn encoded_bytes(changes: &TargetChanges) -> usize {
     let state = PeerMessage::State { configuration: None, targets: Some(changes.clone()) };
-    EncodedMessage::encode(&LinkMessage::Peer(state)).expect("it is encoded").len()
+    EncodedMessage::encode(&LinkMessage::Peer(state)).expect("the message is encoded").len()
 }
 
 fn versions(feed: &TargetFeed) -> KnownVersions {
@@ -52,9 +53,10 @@
     (0..count).map(|number| VmName::new(&format!("entry-{number}"))).collect()
 }
 
-// Guards against a list of all targets sent for each change: it took gateways over their memory.
+// Guards against sending a list of all targets for each change, which exhausted the gateways'
+// memory.
 #[test]
-fn one_target_that_leaves_costs_each_gateway_a_few_hundred_bytes() {
+fn a_draining_target_costs_each_gateway_a_few_hundred_bytes() {
     let mut follower = filled_feed(TARGETS);
     let mut gateways: Vec<TargetFeed> = (1..GATEWAYS).map(|_| filled_feed(TARGETS)).collect();
     let told = follower.known_since();
@@ -70,24 +72,25 @@
     }
 }
 
-// Guards against messages as long as the fleet is large.
+// Guards against messages that grow with the number of targets.
 #[test]
-fn a_gateway_that_knows_nothing_is_told_in_bounded_parts() {
+fn a_new_gateway_is_sent_the_list_in_bounded_parts() {
     let sender = filled_feed(TARGETS);
     let parts = sender.changes_since(0);
     let largest = parts.iter().map(encoded_bytes).max().expect("there are targets");
     assert!(largest < 64 << 10, "{largest} bytes");
     let mut receiver = TargetFeed::default();
     for part in parts {
-        assert!(!receiver.is_whole(), "not before the last part");
+        assert!(!receiver.is_whole(), "a list is applied only with its last part");
         receiver.apply_changes(part, MonoTime(0));
     }
     assert_eq!(versions(&receiver), versions(&sender));
 }
 
-// Guards against a gateway that listed the store after a target left and asked for news ever after.
+// Guards against a gateway that lists the store after a target left and then keeps asking for
+// changes.
 #[test]
-fn a_whole_list_without_changes_leaves_nobody_behind() {
+fn a_whole_list_without_changes_brings_a_gateway_up_to_date() {
     let mut sender = filled_feed(10);
     sender.remove(&entry(3, TargetState::Ready).name, 40, NO_LAPSE, MonoTime(0));
     let mut receiver = TargetFeed::default();
@@ -97,7 +100,7 @@
     assert_eq!(versions(&receiver), versions(&sender));
 }
 
-// Guards against a removal that is lost with a gateway which never knew the target.
+// Guards against a removal that is lost at a gateway which never knew the target.
 #[test]
 fn a_removal_is_passed_on_by_a_gateway_that_never_knew_the_target() {
     let (mut source, mut middle, mut last) = (filled_feed(10), filled_feed(10), filled_feed(10));
@@ -113,9 +116,9 @@
     assert_eq!(versions(&last), versions(&source));
 }
 
-// Guards against changes that hide earlier ones which never came.
+// Guards against changes that hide earlier ones which never arrived.
 #[test]
-fn changes_beyond_a_gap_are_not_taken() {
+fn changes_after_a_gap_are_not_applied() {
     let (mut source, mut behind) = (filled_feed(10), filled_feed(10));
     source.put(entry(1, TargetState::Draining), 20);
     let told = source.known_since();
@@ -123,16 +126,16 @@
     for part in source.changes_since(told) {
         assert_eq!(behind.apply_changes(part, MonoTime(0)), []);
     }
-    assert_eq!(behind.known_since(), 10, "so that it asks");
+    assert_eq!(behind.known_since(), 10, "the lower revision makes it ask");
     for part in source.changes_since(behind.known_since()) {
         behind.apply_changes(part, MonoTime(0));
     }
     assert_eq!(versions(&behind), versions(&source));
 }
 
-// Guards against a gateway that asks everybody who knows more.
+// Guards against a gateway that asks every gateway that knows more.
 #[test]
-fn a_gateway_that_is_behind_asks_one_other_at_a_time() {
+fn a_lagging_gateway_asks_one_other_at_a_time() {
     let own = KnownVersions { configuration: 1, targets: 10, digest: 1 };
     let theirs = KnownVersions { targets: 11, ..own };
     let mut catch_up = CatchUp::default();
@@ -145,18 +148,18 @@
     let times: Vec<u64> = asked.iter().map(|(at, _)| at.0 / 1_000).collect();
     assert!(asked.iter().all(|(_, question)| *question == StateQuestion::Changes));
     assert!(times.windows(2).all(|pair| pair[1] - pair[0] >= 300), "{times:?}");
-    assert!((250..600).contains(&times[0]), "a push would have come before: {times:?}");
+    assert!((250..600).contains(&times[0]), "asked before a push would have arrived: {times:?}");
 }
 
-// Guards against waiting for a push by one that can't serve yet.
+// Guards against waiting for a push from a gateway that cannot send one yet.
 #[test]
-fn a_gateway_that_knows_nothing_asks_at_once() {
+fn a_new_gateway_asks_immediately() {
     let theirs = KnownVersions { configuration: 1, targets: 10, digest: 1 };
     let question = CatchUp::default().note_report(KnownVersions::default(), theirs, MonoTime(5));
     assert_eq!(question, Some(StateQuestion::Changes));
 }
 
-// Guards against a change that was missed though the revisions are the same.
+// Guards against a missed change that goes unnoticed because the revisions are equal.
 #[test]
 fn a_lasting_difference_at_one_revision_is_repaired_by_a_whole_list() {
     let own = KnownVersions { configuration: 1, targets: 10, digest: 1 };
@@ -168,7 +171,7 @@
     assert_eq!(ask(4_000, own), None, "another gateway knows the same");
     assert_eq!(ask(6_000, theirs), None);
     assert_eq!(ask(11_000, theirs), Some(StateQuestion::WholeList));
-    assert_eq!(ask(11_500, theirs), None, "not again at once");
+    assert_eq!(ask(11_500, theirs), None, "not asked again immediately");
 }
 
 #[rstest]
@@ -183,28 +186,30 @@
     }
 }
 
-/// What happens to one of two gateways that hear of changes from a source.
+/// A step that affects the source or one of the gateways that receive changes from it.
 #[derive(Debug, Clone)]
-enum SpreadStep {
-    /// A target is written at the source.
+enum PropagationStep {
+    /// The source writes a target.
     Put(u64, bool),
     /// A target leaves at the source.
     Remove(u64),
-    /// The source pushes to a gateway what it hasn't told yet; the message may be lost or come twice.
+    /// The source pushes the changes since its last push to a gateway. The message may be lost or
+    /// repeated.
     Push { to: usize, copies: usize },
-    /// A gateway asks another one.
+    /// A gateway asks another one for changes.
     Ask { from: usize, of: usize },
-    /// A gateway starts again.
+    /// A gateway restarts.
     Restart(usize),
 }
 
-fn any_step() -> impl Strategy<Value = SpreadStep> {
+fn any_step() -> impl Strategy<Value = PropagationStep> {
     prop_oneof![
-        (0..8_u64, any::<bool>()).prop_map(|(target, draining)| SpreadStep::Put(target, draining)),
-        (0..8_u64).prop_map(SpreadStep::Remove),
-        (1..4_usize, 0..3_usize).prop_map(|(to, copies)| SpreadStep::Push { to, copies }),
-        (1..4_usize, 0..4_usize).prop_map(|(from, of)| SpreadStep::Ask { from, of }),
-        (1..4_usize).prop_map(SpreadStep::Restart),
+        (0..8_u64, any::<bool>())
+            .prop_map(|(target, draining)| PropagationStep::Put(target, draining)),
+        (0..8_u64).prop_map(PropagationStep::Remove),
+        (1..4_usize, 0..3_usize).prop_map(|(to, copies)| PropagationStep::Push { to, copies }),
+        (1..4_usize, 0..4_usize).prop_map(|(from, of)| PropagationStep::Ask { from, of }),
+        (1..4_usize).prop_map(PropagationStep::Restart),
     ]
 }
 
@@ -215,7 +220,8 @@
 }
 
 proptest! {
-    // Guards against gateways that differ for good after loss, repetition, restarts and second-hand news.
+    // Guards against gateways that stay different after loss, repetition, restarts and changes
+    // learned indirectly.
     #[test]
     fn gateways_converge_whatever_is_lost_or_repeated(
         steps in proptest::collection::vec(any_step(), 0..60)
@@ -226,24 +232,24 @@
         for step in steps {
             revision += 1;
             match step {
-                SpreadStep::Put(target, draining) => {
+                PropagationStep::Put(target, draining) => {
                     let state = if draining { TargetState::Draining } else { TargetState::Ready };
                     feeds[0].put(entry(target, state), revision);
                 }
-                SpreadStep::Remove(target) => {
+                PropagationStep::Remove(target) => {
                     let name = entry(target, TargetState::Ready).name;
                     feeds[0].remove(&name, revision, NO_LAPSE, MonoTime(0));
                 }
-                SpreadStep::Push { to, copies } => {
+                PropagationStep::Push { to, copies } => {
                     let parts = feeds[0].changes_since(told);
                     told = feeds[0].known_since();
                     for part in std::iter::repeat_n(parts, copies).flatten() {
                         feeds[to].apply_changes(part, MonoTime(0));
                     }
                 }
-                SpreadStep::Ask { from, of } if from != of => ask(&mut feeds, from, of),
-                SpreadStep::Ask { .. } => {}
-                SpreadStep::Restart(gateway) => feeds[gateway] = TargetFeed::default(),
+                PropagationStep::Ask { from, of } if from != of => ask(&mut feeds, from, of),
+                PropagationStep::Ask { .. } => {}
+                PropagationStep::Restart(gateway) => feeds[gateway] = TargetFeed::default(),
             }
         }
         for gateway in 1..4 {
