--- a/crates/entry/src/batch/commits.rs
+++ b/crates/entry/src/batch/commits.rs
@@ -81,7 +81,7 @@
 }
 
 /// Handles results that another gateway wrote at this position. Either it owns the job, or it was
-/// the previous owner and its write was delayed; the job's object in the store tells which.
+/// the previous owner and its write was delayed; the job's object in the store shows which.
 async fn apply_displaced(
     node: &Arc<EntryNode>,
     job: &str,
--- a/crates/entry/src/batch/intake.rs
+++ b/crates/entry/src/batch/intake.rs
@@ -57,7 +57,7 @@
         /// When the client should retry.
         wait: Duration,
     },
-    /// The store did not tell whether it is within the limit.
+    /// Whether it is within the limit could not be determined in time.
     LimitUnknown,
 }
 
@@ -237,7 +237,8 @@
                 return IntakeOutcome::Owned;
             }
             Ok(false) if was_unclear => {
-                // Probably this gateway's own write whose answer was lost; the stored record tells.
+                // Probably this gateway's own write whose answer was lost; the stored record shows
+                // it.
                 return resolve_unclear_write(&node, spec, &record).await;
             }
             Ok(false) => return IntakeOutcome::Known,
--- a/crates/entry/src/batch/item_run.rs
+++ b/crates/entry/src/batch/item_run.rs
@@ -32,7 +32,7 @@
     events: u64,
 }
 
-/// Runs an item and reports the outcome to its job. Closing `cancel` interrupts the run.
+/// Runs an item and reports the outcome to its job. Closing `cancel` ends the run early.
 pub async fn run_item(
     node: Arc<EntryNode>,
     run: u64,
--- a/crates/entry/src/batch/job_registry.rs
+++ b/crates/entry/src/batch/job_registry.rs
@@ -69,8 +69,8 @@
     listed: FastMap<String, MonoTime>,
     /// Jobs whose end is stored, and when this gateway learned of it.
     ended: FastMap<String, MonoTime>,
-    /// Progress of jobs handed over by stopping gateways. Invariant: at most [`MAX_HANDED_OVER_JOBS`]
-    /// entries.
+    /// Progress of jobs handed over by stopping gateways. Invariant: at most
+    /// [`MAX_HANDED_OVER_JOBS`] entries.
     handed_over: FastMap<String, Vec<HeldProgress>>,
     /// Jobs that a task is accepting or taking over.
     busy: FastSet<String>,
@@ -135,14 +135,14 @@
 
     /// The job's owner, as reported by another gateway.
     pub fn owner(&self, job: &str) -> Option<&str> {
-        self.owners.get(job).map(|told| told.owner.as_str())
+        self.owners.get(job).map(|reported| reported.owner.as_str())
     }
 
     /// Records that `owner` owns these jobs.
     pub fn note_owner(&mut self, jobs: &[String], owner: &str) {
         for job in jobs {
-            let told = ReportedOwner { owner: owner.to_owned(), closed_at: None };
-            self.owners.insert(job.clone(), told);
+            let reported = ReportedOwner { owner: owner.to_owned(), closed_at: None };
+            self.owners.insert(job.clone(), reported);
             self.storing_elsewhere.remove(job);
             self.listed.remove(job);
         }
@@ -157,14 +157,14 @@
 
     /// Open jobs that other gateways own, each with its owner.
     pub fn owned_elsewhere(&self) -> impl Iterator<Item = (&str, &str)> {
-        let open = self.owners.iter().filter(|(_, told)| told.closed_at.is_none());
-        open.map(|(job, told)| (job.as_str(), told.owner.as_str()))
+        let open = self.owners.iter().filter(|(_, reported)| reported.closed_at.is_none());
+        open.map(|(job, reported)| (job.as_str(), reported.owner.as_str()))
     }
 
     /// Records that all results of the job are stored, so that it needs no owner any more.
     pub fn note_closed(&mut self, job: &str, now: MonoTime) {
-        if let Some(told) = self.owners.get_mut(job) {
-            told.closed_at.get_or_insert(now);
+        if let Some(reported) = self.owners.get_mut(job) {
+            reported.closed_at.get_or_insert(now);
         }
         self.handed_over.remove(job);
     }
@@ -179,7 +179,7 @@
     pub fn forget_done(&mut self, before: MonoTime) {
         self.ended.retain(|_, since| *since >= before);
         self.listed.retain(|_, since| *since >= before);
-        self.owners.retain(|_, told| told.closed_at.is_none_or(|since| since >= before));
+        self.owners.retain(|_, reported| reported.closed_at.is_none_or(|since| since >= before));
     }
 
     /// Whether the job is known to have ended.
--- a/crates/entry/src/batch/limits.rs
+++ b/crates/entry/src/batch/limits.rs
@@ -42,7 +42,7 @@
         /// When the client should retry.
         wait: Duration,
     },
-    /// The store did not tell.
+    /// It could not be determined in time.
     Unknown,
 }
 
@@ -195,7 +195,7 @@
 
 /// Reduces the shares of gateways whose work was taken over. If that fails the tokens count twice
 /// until those shares lapse.
-pub async fn release(node: &EntryNode, route: &str, taken: &[(String, u64)]) {
+pub async fn release_taken_over(node: &EntryNode, route: &str, taken: &[(String, u64)]) {
     if change(node, route, |holder, _| holder.release(taken)).await.is_err() {
         node.log.warn("share_not_released", &[("route", &route)]);
     }
@@ -275,7 +275,7 @@
 
 /// Answers another gateway's request to release unused tokens with how many are still used.
 pub fn answer_ask(node: &EntryNode, vm: &VmName, call: u64, route: &str) {
-    let kept = cede(node, route);
+    let kept = release_unused(node, route);
     let ended_per_second = node.limits.ended_per_second(route, node.clock.mono()) as u64;
     let holder = node.owner.clone();
     node.peers.send(vm, PeerMessage::ShareKept { call, holder, kept, ended_per_second });
@@ -283,7 +283,7 @@
 
 /// Releases the unused part of this gateway's share. Also called when a job was lost to another
 /// gateway, which counts its tokens from then on: they must not be used for other jobs here.
-pub fn cede(node: &EntryNode, route: &str) -> u64 {
+pub fn release_unused(node: &EntryNode, route: &str) -> u64 {
     with_holder(node, route, |holder, registry| holder.cede(registry.limit_tokens(route)))
 }
 
--- a/crates/entry/src/batch/ownership.rs
+++ b/crates/entry/src/batch/ownership.rs
@@ -131,15 +131,15 @@
     let asked = node.jobs().table.last_doubt();
     let stored = read_job(&node.store, job, StoreCallCause::OwnershipChecked).await?;
     let owner = stored.as_ref().map_or("", |stored| stored.owner());
-    let is_ours = owner == node.owner;
-    if is_ours {
+    let is_owner = owner == node.owner;
+    if is_owner {
         if let Some(owned) = node.jobs().table.get_mut(job) {
             owned.confirm(asked);
         }
     } else {
         relinquish_job(node, job, owner);
     }
-    Ok(is_ours)
+    Ok(is_owner)
 }
 
 fn relinquish_job(node: &EntryNode, job: &str, owner: &str) {
@@ -150,7 +150,7 @@
     registry.note_owner(&[job.to_owned()], owner);
     drop(registry);
     if let Some(limit) = limit {
-        limits::cede(node, &limit);
+        limits::release_unused(node, &limit);
     }
     node.job_news.notify(usize::MAX);
 }
--- a/crates/entry/src/batch/read_latency.rs
+++ b/crates/entry/src/batch/read_latency.rs
@@ -30,7 +30,7 @@
     Peer,
     /// The store.
     Store,
-    /// No source: there is no such job, or nobody can tell.
+    /// No source: there is no such job, or the answer cannot be determined now.
     Nobody,
 }
 
--- a/crates/entry/src/batch/reads.rs
+++ b/crates/entry/src/batch/reads.rs
@@ -217,8 +217,8 @@
     if let Some(owner) = reported.or_else(|| copy.owner.clone()) {
         is_sure = ask_owner(node, &owner, (job, account), &mut copy, left.min(ASK_WAIT)).await;
     }
-    let has_news = copy.total.is_some() && copy.lines.len() > after;
-    if !is_sure && !has_news {
+    let has_new_lines = copy.total.is_some() && copy.lines.len() > after;
+    if !is_sure && !has_new_lines {
         match ask_store(node, job, &mut copy).await {
             Ok(true) => {}
             Ok(false) => return ReadAnswer::no_such_job(),
@@ -230,7 +230,7 @@
     }
     let Some(total) = copy.total else { return unsure(node, job, "no_total") };
     let lines = copy.lines.get(after..).unwrap_or_default();
-    let source = if is_sure || has_news { ReadSource::Peer } else { ReadSource::Store };
+    let source = if is_sure || has_new_lines { ReadSource::Peer } else { ReadSource::Store };
     let answer = answer_from(node, job, total, after, lines, source);
     node.jobs().cache.keep(job, copy);
     answer
@@ -285,15 +285,15 @@
         let message = PeerMessage::JobAsk { call, job, account, after, wait_ms };
         node.peers.send_to_owner(owner, message)
     };
-    let news = match node.peers.job_calls.ask(send, wait + ASK_GRACE).await {
-        CallEnd::Answered(news) if news.total > 0 => news,
+    let reply = match node.peers.job_calls.ask(send, wait + ASK_GRACE).await {
+        CallEnd::Answered(reply) if reply.total > 0 => reply,
         CallEnd::Answered(_) | CallEnd::NotSent | CallEnd::Unanswered => return false,
     };
-    let lines: Vec<Arc<ResultLine>> = news.lines.into_iter().map(Arc::new).collect();
-    copy.extend(held, &lines, news.is_all);
-    copy.total = Some(news.total);
-    copy.account = Some(news.account);
-    news.is_sure
+    let lines: Vec<Arc<ResultLine>> = reply.lines.into_iter().map(Arc::new).collect();
+    copy.extend(held, &lines, reply.is_all);
+    copy.total = Some(reply.total);
+    copy.account = Some(reply.account);
+    reply.is_sure
 }
 
 /// A read that another gateway makes for a client.
@@ -369,14 +369,15 @@
     source: ReadSource,
 ) -> ReadAnswer {
     if lines.is_empty() {
-        let word = source.code();
-        node.log.info("job_read_empty", &[("job", &job), ("after", &after), ("source", &word)]);
+        let code = source.code();
+        node.log.info("job_read_empty", &[("job", &job), ("after", &after), ("source", &code)]);
         node.metrics.count(Counter::Event("job_reads_empty"));
     }
     ReadAnswer { answer: results_answer(total, after, lines), source }
 }
 
-/// The answer if nobody can tell now: a refusal to retry, not an empty list.
+/// The answer if the results cannot be determined now: a refusal with a time to retry, not an empty
+/// list.
 pub(super) fn unsure(node: &EntryNode, job: &str, reason: &'static str) -> ReadAnswer {
     node.log.warn("job_read_unsure", &[("job", &job), ("reason", &reason)]);
     node.metrics.count(Counter::Event("job_reads_unsure"));
--- a/crates/entry/src/batch/runner.rs
+++ b/crates/entry/src/batch/runner.rs
@@ -98,7 +98,7 @@
     );
 }
 
-/// Interrupts the items that began last at targets with more requests than slots. Engines serve
+/// Preempts the items that began last at targets with more requests than slots. Engines serve
 /// requests first come, first served, so online requests may wait behind them.
 fn preempt_items(node: &EntryNode, now: MonoTime) {
     let registry = node.jobs();
@@ -117,7 +117,7 @@
     }
 }
 
-/// Interrupts the item that began last at `target`, for an online request sent there that finds no
+/// Preempts the item that began last at `target`, for an online request sent there that finds no
 /// free slot. Waiting for the next pass would add up to [`RUNNER_TICK`] to its first event.
 pub fn preempt_newest_item(node: &EntryNode, target: &str) {
     let registry = node.jobs();
--- a/crates/entry/src/batch/share_reclaim.rs
+++ b/crates/entry/src/batch/share_reclaim.rs
@@ -28,10 +28,10 @@
 }
 
 /// Reads the shares and asks all other gateways to release theirs, one task at a time. Returns
-/// `None` if the previous task's result already decides the case, as `is_known` tells.
+/// `None` if the previous task's result already decides the case, as reported by `is_known`.
 ///
 /// # Errors
-/// The store did not tell the shares.
+/// The shares could not be read from the store.
 pub(crate) async fn reclaim_in_turn(
     node: &EntryNode,
     limit: &WaitingLimit,
--- a/crates/entry/src/batch/takeover.rs
+++ b/crates/entry/src/batch/takeover.rs
@@ -48,7 +48,7 @@
 fn has_orphans(node: &EntryNode, now: MonoTime) -> bool {
     let registry = node.jobs();
     let open = registry.owned_elsewhere().filter(|(job, _)| !registry.is_ended(job));
-    // A gateway owns many jobs; its liveness is checked once.
+    // A gateway owns many jobs, so its liveness is checked once for all of them.
     let owners: FastSet<&str> = open.map(|(_, owner)| owner).collect();
     owners.into_iter().any(|owner| node.liveness(owner, now) == OwnerLiveness::Gone)
 }
@@ -68,11 +68,11 @@
             node.jobs().note_closed(&job.id, now);
             continue;
         }
-        let is_ours = {
+        let is_handled = {
             let registry = node.jobs();
             registry.is_ended(&job.id) || registry.is_owned(&job.id) || registry.is_busy(&job.id)
         };
-        if is_ours {
+        if is_handled {
             continue;
         }
         match node.liveness(&owner, now) {
@@ -117,7 +117,7 @@
         }
     }
     for (limit, former) in moved {
-        limits::release(node, limit, &former).await;
+        limits::release_taken_over(node, limit, &former).await;
     }
     taken
 }
--- a/crates/entry/src/store/forwarding.rs
+++ b/crates/entry/src/store/forwarding.rs
@@ -34,7 +34,7 @@
 pub enum CallRouting {
     /// From this VM.
     Direct,
-    /// From this VM, and through another gateway if the store refuses it.
+    /// From this VM, and through another gateway if the call was surely not done.
     DirectFirst,
     /// Through another gateway, and from this VM if no gateway can be asked.
     Forwarded,
--- a/crates/entry/src/store/target.rs
+++ b/crates/entry/src/store/target.rs
@@ -22,7 +22,7 @@
     born: u64,
     /// `None` if the entry was removed.
     entry: Option<TargetEntry>,
-    /// Revision of the complete feed when this change was applied. Invariant: at least `revision`.
+    /// Revision of the whole feed when this change was applied. Invariant: at least `revision`.
     applied_at: u64,
 }
 
@@ -235,7 +235,7 @@
         changes
     }
 
-    /// Removes missing entries whose time to come back is over.
+    /// Removes missing entries whose grace period after an outage is over.
     pub fn expire(&mut self, now: MonoTime) -> Vec<TargetChange> {
         let over = self.lapsing.iter().filter(|(_, lapse)| lapse.until <= now);
         let over: Vec<(String, u64)> =
@@ -246,7 +246,8 @@
         gone.collect()
     }
 
-    /// Revision since which another gateway should send changes; 0 before a complete list was applied.
+    /// Revision since which another gateway should send changes; 0 before a complete list was
+    /// applied.
     pub fn known_since(&self) -> u64 {
         if self.is_whole { self.revision } else { 0 }
     }
@@ -257,7 +258,8 @@
     }
 
     /// Messages, in parts, for a gateway that knows everything up to `since`: the changes since, or
-    /// the complete list if the changes are no longer known. Empty until a complete list is known here.
+    /// the complete list if the changes are no longer known. Empty until a complete list is known
+    /// here.
     pub fn changes_since(&self, since: u64) -> Vec<TargetChanges> {
         if !self.is_whole {
             return Vec::new();
--- a/crates/entry/tests/target_propagation.rs
+++ b/crates/entry/tests/target_propagation.rs
@@ -59,9 +59,9 @@
 fn a_draining_target_costs_each_gateway_a_few_hundred_bytes() {
     let mut follower = filled_feed(TARGETS);
     let mut gateways: Vec<TargetFeed> = (1..GATEWAYS).map(|_| filled_feed(TARGETS)).collect();
-    let told = follower.known_since();
+    let since = follower.known_since();
     follower.put(entry(7, TargetState::Draining), TARGETS + 1);
-    let parts = follower.changes_since(told);
+    let parts = follower.changes_since(since);
     let largest = parts.iter().map(encoded_bytes).max().expect("there is a change");
     assert!(largest < 1_000, "{largest} bytes");
     for feed in &mut gateways {
@@ -121,9 +121,9 @@
 fn changes_after_a_gap_are_not_applied() {
     let (mut source, mut behind) = (filled_feed(10), filled_feed(10));
     source.put(entry(1, TargetState::Draining), 20);
-    let told = source.known_since();
+    let since = source.known_since();
     source.put(entry(2, TargetState::Draining), 21);
-    for part in source.changes_since(told) {
+    for part in source.changes_since(since) {
         assert_eq!(behind.apply_changes(part, MonoTime(0)), []);
     }
     assert_eq!(behind.known_since(), 10, "the lower revision makes it ask");
@@ -228,7 +228,7 @@
     ) {
         let mut feeds: Vec<TargetFeed> = (0..4).map(|_| filled_feed(3)).collect();
         let mut revision = 10;
-        let mut told = feeds[0].known_since();
+        let mut since = feeds[0].known_since();
         for step in steps {
             revision += 1;
             match step {
@@ -241,8 +241,8 @@
                     feeds[0].remove(&name, revision, NO_LAPSE, MonoTime(0));
                 }
                 PropagationStep::Push { to, copies } => {
-                    let parts = feeds[0].changes_since(told);
-                    told = feeds[0].known_since();
+                    let parts = feeds[0].changes_since(since);
+                    since = feeds[0].known_since();
                     for part in std::iter::repeat_n(parts, copies).flatten() {
                         feeds[to].apply_changes(part, MonoTime(0));
                     }
