--- a/crates/entry/src/batch/prior_submission.rs
+++ b/crates/entry/src/batch/prior_submission.rs
@@ -2,7 +2,7 @@
 //!
 //! A client that got no answer submits the job again at another gateway. A refusal tells the client
 //! that nothing of the job runs, so it must not follow an acceptance by another gateway. In a burst
-//! each refused job comes back a dozen times; lookup each up in the store would alone exceed the
+//! each refused job comes back a dozen times; looking each up in the store would alone exceed the
 //! call rate that the store sustains.
 
 use std::time::Duration;
