--- a/crates/lab/src/comparison.rs
+++ b/crates/lab/src/comparison.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 
-use crate::{outcome::PlayOutcome, pattern::LoadPattern, policy::PlacePolicy, world::LabWorld};
+use crate::{outcome::PlayOutcome, pattern::LoadPattern, policy::SelectionPolicy, world::LabWorld};
 
 /// A 95% interval reaches so many standard errors to each side, for five seeds or more.
 const INTERVAL_ERRORS: f64 = 2.3;
@@ -62,7 +62,7 @@
 
 impl PatternComparison {
     /// Plays a pattern under each policy with the seeds from 1 to `seeds`.
-    pub fn play(pattern: &LoadPattern, policies: &[PlacePolicy], seeds: u64) -> Self {
+    pub fn run(pattern: &LoadPattern, policies: &[SelectionPolicy], seeds: u64) -> Self {
         let played = policies.iter().map(|policy| PolicyOutcomes {
             policy: policy.to_string(),
             outcomes: (1..=seeds).map(|seed| LabWorld::play(pattern, *policy, seed)).collect(),
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -18,7 +18,7 @@
         comparison::{PairedDifference, PatternComparison, PolicyOutcomes},
         outcome::PlayOutcome,
         pattern::{LoadPattern, LoadStep, TargetLoss},
-        policy::PlacePolicy,
+        policy::SelectionPolicy,
         world::LabWorld,
     };
 }
--- a/crates/lab/src/policy.rs
+++ b/crates/lab/src/policy.rs
@@ -4,7 +4,7 @@
 
 /// How gateways choose targets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PlacePolicy {
+pub enum SelectionPolicy {
     /// By reports of the others' use alone.
     Reports,
     /// Places at another gateway's targets are asked for, as shipped.
@@ -13,20 +13,20 @@
     AllKnowing,
 }
 
-impl PlacePolicy {
+impl SelectionPolicy {
     /// Each policy with its name on the command line.
     pub const ALL: [(&'static str, Self); 3] =
         [("reports", Self::Reports), ("homes", Self::Homes), ("all-knowing", Self::AllKnowing)];
 }
 
-impl fmt::Display for PlacePolicy {
+impl fmt::Display for SelectionPolicy {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let named = Self::ALL.iter().find(|(_, policy)| policy == self);
         f.write_str(named.map_or("", |(name, _)| name))
     }
 }
 
-impl FromStr for PlacePolicy {
+impl FromStr for SelectionPolicy {
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -13,7 +13,7 @@
     gateway::{GatewayModel, WaitingItem},
     outcome::PlayOutcome,
     pattern::LoadPattern,
-    policy::PlacePolicy,
+    policy::SelectionPolicy,
     schedule::EventSchedule,
     target::{Admission, RunNumber, TargetModel},
 };
@@ -155,7 +155,7 @@
 #[derive(Debug)]
 pub struct LabWorld {
     pattern: LoadPattern,
-    policy: PlacePolicy,
+    policy: SelectionPolicy,
     random: SmallRng,
     schedule: EventSchedule<LabEvent>,
     gateways: Vec<GatewayModel>,
@@ -171,7 +171,7 @@
 
 impl LabWorld {
     /// Plays a pattern to its end.
-    pub fn play(pattern: &LoadPattern, policy: PlacePolicy, seed: u64) -> PlayOutcome {
+    pub fn play(pattern: &LoadPattern, policy: SelectionPolicy, seed: u64) -> PlayOutcome {
         let mut world = Self::new(pattern, policy, seed);
         world.begin();
         while let Some(event) = world.schedule.next_event() {
@@ -180,7 +180,7 @@
         world.outcome
     }
 
-    fn new(pattern: &LoadPattern, policy: PlacePolicy, seed: u64) -> Self {
+    fn new(pattern: &LoadPattern, policy: SelectionPolicy, seed: u64) -> Self {
         let domain = |number: usize| format!("fd-{}", number % pattern.domains);
         let gateways: Vec<GatewayModel> =
             (0..pattern.gateways).map(|n| GatewayModel::new(n, &domain(n))).collect();
@@ -360,7 +360,7 @@
     /// Sends a request to the target that was chosen for it.
     fn start(&mut self, gateway: usize, choice: &TargetChoice, work: RunWork, events: u32) {
         let target = self.target_ids.iter().position(|id| *id == choice.id).unwrap_or_default();
-        let home = choice.home.as_ref().filter(|_| self.policy == PlacePolicy::Homes);
+        let home = choice.home.as_ref().filter(|_| self.policy == SelectionPolicy::Homes);
         let home = home.and_then(|vm| self.gateways.iter().position(|g| g.vm == *vm));
         let (began, has_event, is_cut) = (self.now(), false, false);
         let events_left = events;
--- a/crates/lab/src/world/items.rs
+++ b/crates/lab/src/world/items.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     gateway::WaitingItem,
-    policy::PlacePolicy,
+    policy::SelectionPolicy,
     target::RunNumber,
     world::{ITEMS_EVERY, LabEvent, LabRun, LabWorld, RunOutcome, RunWork, SERVICE},
 };
@@ -57,7 +57,7 @@
 
     fn choose_for_item(&mut self, gateway: usize) -> Option<TargetChoice> {
         let now = self.now();
-        if self.policy == PlacePolicy::AllKnowing {
+        if self.policy == SelectionPolicy::AllKnowing {
             let free = (0..self.targets.len()).max_by_key(|n| self.open_places(*n))?;
             let id = &self.target_ids[free];
             let has_place = self.open_places(free) > 1;
@@ -71,7 +71,7 @@
 
     /// Breaks off own items at targets where online requests wait behind them.
     fn make_room(&mut self, gateway: usize) {
-        if self.policy == PlacePolicy::AllKnowing {
+        if self.policy == SelectionPolicy::AllKnowing {
             return;
         }
         let mut counts: FastMap<usize, Vec<RunNumber>> = FastMap::default();
@@ -128,8 +128,8 @@
         }
         self.outcome.cut_runs += 1;
         let delay = match self.policy {
-            PlacePolicy::AllKnowing => Duration::ZERO,
-            PlacePolicy::Reports | PlacePolicy::Homes => self.pattern.delay,
+            SelectionPolicy::AllKnowing => Duration::ZERO,
+            SelectionPolicy::Reports | SelectionPolicy::Homes => self.pattern.delay,
         };
         self.schedule.add(delay, LabEvent::Cut { run });
     }
--- a/crates/lab/src/world/online.rs
+++ b/crates/lab/src/world/online.rs
@@ -7,7 +7,7 @@
 use rand::RngExt;
 
 use crate::{
-    policy::PlacePolicy,
+    policy::SelectionPolicy,
     target::RunNumber,
     world::{LabEvent, LabRequest, LabRun, LabWorld, RunOutcome, RunWork, SERVICE},
 };
@@ -40,10 +40,10 @@
     }
 
     pub(super) fn attempt(&mut self, request: usize) {
-        if self.policy == PlacePolicy::AllKnowing {
+        if self.policy == SelectionPolicy::AllKnowing {
             return self.attempt_knowing(request);
         }
-        if self.policy == PlacePolicy::Homes {
+        if self.policy == SelectionPolicy::Homes {
             return self.search_place(request);
         }
         let (now, queue) = (self.now(), QueueLimit::Within(self.pattern.objective));
--- a/crates/lab/tests/places.rs
+++ b/crates/lab/tests/places.rs
@@ -14,18 +14,18 @@
 
 /// Outcomes of a pattern, with and without asking for places.
 fn compared(name: &str) -> (PolicyOutcomes, PolicyOutcomes) {
-    let policies = [PlacePolicy::Reports, PlacePolicy::Homes];
-    let mut played = PatternComparison::play(&short(name), &policies, SEEDS).policies.into_iter();
+    let policies = [SelectionPolicy::Reports, SelectionPolicy::Homes];
+    let mut played = PatternComparison::run(&short(name), &policies, SEEDS).policies.into_iter();
     let (reports, homes) = (played.next(), played.next());
     (reports.expect("it was played"), homes.expect("it was played"))
 }
 
 // Guards against results that can't be played again.
 #[rstest]
-#[case(PlacePolicy::Reports)]
-#[case(PlacePolicy::Homes)]
-#[case(PlacePolicy::AllKnowing)]
-fn a_play_is_the_same_each_time(#[case] policy: PlacePolicy) {
+#[case(SelectionPolicy::Reports)]
+#[case(SelectionPolicy::Homes)]
+#[case(SelectionPolicy::AllKnowing)]
+fn a_play_is_the_same_each_time(#[case] policy: SelectionPolicy) {
     let pattern = LoadPattern { span: Duration::from_secs(4), ..short("crests") };
     let first = LabWorld::play(&pattern, policy, 3);
     assert_eq!(first, LabWorld::play(&pattern, policy, 3));
--- a/crates/magnolianotch/src/cli/lab.rs
+++ b/crates/magnolianotch/src/cli/lab.rs
@@ -7,9 +7,10 @@
 /// Plays the patterns asked for and shows how the policies compare.
 pub(super) fn run(args: &LabArgs, output: &mut CommandOutput) -> Result<(), CliError> {
     let policies = args.compare.split(',').map(|name| name.trim().parse());
-    let policies: Vec<PlacePolicy> = policies.collect::<Result<_, _>>().map_err(CliError::Usage)?;
+    let policies: Vec<SelectionPolicy> =
+        policies.collect::<Result<_, _>>().map_err(CliError::Usage)?;
     for pattern in patterns(args)? {
-        let comparison = PatternComparison::play(&pattern, &policies, args.seeds.max(1));
+        let comparison = PatternComparison::run(&pattern, &policies, args.seeds.max(1));
         if output.is_json() {
             output.json(&comparison);
         } else {
