--- a/crates/lab/src/comparison.rs
+++ b/crates/lab/src/comparison.rs
@@ -1,76 +1,78 @@
-//! One pattern under several policies and seeds, compared seed by seed.
+//! Runs a load pattern under several policies and compares the results with paired seeds.
 
 use serde::Serialize;
 
-use crate::{outcome::PlayOutcome, pattern::LoadPattern, policy::SelectionPolicy, world::LabWorld};
+use crate::{
+    outcome::SimOutcome, pattern::LoadPattern, policy::SelectionPolicy, simulation::Simulation,
+};
 
-/// A 95% interval reaches so many standard errors to each side, for five seeds or more.
-const INTERVAL_ERRORS: f64 = 2.3;
+/// Half-width of the 95% confidence interval in standard errors, valid for five seeds or more.
+const INTERVAL_STANDARD_ERRORS: f64 = 2.3;
 
-/// How much a figure differs between two policies, seed by seed.
+/// Difference of a metric between two policies, paired by seed.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct PairedDifference {
-    /// Mean of the differences.
+    /// Mean of the per-seed differences.
     pub mean: f64,
-    /// Half of the width of its confidence interval.
+    /// Half of the width of the mean's confidence interval.
     pub half_width: f64,
 }
 
 impl PairedDifference {
-    /// Of `second` over `first`, in the same order of seeds.
+    /// Difference `second - first`; both hold one value per seed, in the same order.
     pub fn of(first: &[f64], second: &[f64]) -> Self {
         let pairs: Vec<f64> = first.iter().zip(second).map(|(a, b)| b - a).collect();
         let count = pairs.len().max(1) as f64;
         let mean = pairs.iter().sum::<f64>() / count;
         let squares: f64 = pairs.iter().map(|pair| (pair - mean).powi(2)).sum();
         let deviation = (squares / (count - 1.0).max(1.0)).sqrt();
-        Self { mean, half_width: INTERVAL_ERRORS * deviation / count.sqrt() }
+        Self { mean, half_width: INTERVAL_STANDARD_ERRORS * deviation / count.sqrt() }
     }
 }
 
-/// Outcomes of one policy, one for each seed.
+/// Outcomes of one policy, one per seed.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct PolicyOutcomes {
     /// Name of the policy.
     pub policy: String,
-    /// In the order of the seeds.
-    pub outcomes: Vec<PlayOutcome>,
+    /// One outcome per seed, in the order of the seeds.
+    pub outcomes: Vec<SimOutcome>,
 }
 
 impl PolicyOutcomes {
-    /// Mean of a figure over the seeds.
-    pub fn mean(&self, figure: impl Fn(&PlayOutcome) -> f64) -> f64 {
-        let sum: f64 = self.outcomes.iter().map(figure).sum();
+    /// Mean of a metric over the seeds.
+    pub fn mean(&self, metric: impl Fn(&SimOutcome) -> f64) -> f64 {
+        let sum: f64 = self.outcomes.iter().map(metric).sum();
         sum / self.outcomes.len().max(1) as f64
     }
 
-    fn figures(&self, figure: impl Fn(&PlayOutcome) -> f64) -> Vec<f64> {
-        self.outcomes.iter().map(figure).collect()
+    fn values(&self, metric: impl Fn(&SimOutcome) -> f64) -> Vec<f64> {
+        self.outcomes.iter().map(metric).collect()
     }
 }
 
-/// One pattern under several policies.
+/// Results of one pattern under several policies.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct PatternComparison {
     /// Name of the pattern.
     pub pattern: String,
-    /// Seeds, from 1 on.
+    /// Number of seeds; they run from 1 to this.
     pub seeds: u64,
-    /// In the order asked for.
+    /// One entry per policy, in the requested order.
     pub policies: Vec<PolicyOutcomes>,
 }
 
 impl PatternComparison {
-    /// Plays a pattern under each policy with the seeds from 1 to `seeds`.
+    /// Simulates a pattern under each policy with the seeds from 1 to `seeds`.
     pub fn run(pattern: &LoadPattern, policies: &[SelectionPolicy], seeds: u64) -> Self {
-        let played = policies.iter().map(|policy| PolicyOutcomes {
+        let results = policies.iter().map(|policy| PolicyOutcomes {
             policy: policy.to_string(),
-            outcomes: (1..=seeds).map(|seed| LabWorld::play(pattern, *policy, seed)).collect(),
+            outcomes: (1..=seeds).map(|seed| Simulation::run(pattern, *policy, seed)).collect(),
         });
-        Self { pattern: pattern.name.to_owned(), seeds, policies: played.collect() }
+        Self { pattern: pattern.name.to_owned(), seeds, policies: results.collect() }
     }
 
-    /// The figures as a table, with each policy's difference from the first one.
+    /// Formats the results as a table, with each policy's difference from the first one.
     pub fn table(&self) -> String {
         let mut text = format!(
             "{}, {} seeds\n{:<12} {:>8} {:>15} {:>10} {:>10} {:>9} {:>8} {:>9} {:>6} {:>9}\n",
@@ -88,26 +90,25 @@
             "cut runs"
         );
         let Some(first) = self.policies.first() else { return text };
-        let base = first.figures(PlayOutcome::online_share);
-        for played in &self.policies {
-            let part = |count: fn(&PlayOutcome) -> u64| {
-                played.mean(|o| count(o) as f64 / o.online.max(1) as f64)
+        let base = first.values(SimOutcome::online_share);
+        for result in &self.policies {
+            let share = |count: fn(&SimOutcome) -> u64| {
+                result.mean(|o| count(o) as f64 / o.online.max(1) as f64)
             };
-            let difference =
-                PairedDifference::of(&base, &played.figures(PlayOutcome::online_share));
+            let difference = PairedDifference::of(&base, &result.values(SimOutcome::online_share));
             text += &format!(
                 "{:<12} {:>8.4} {:>+8.4}±{:.4} {:>10.4} {:>10.4} {:>9.4} {:>8.4} {:>9.4} {:>6.3} {:>9.0}\n",
-                played.policy,
-                played.mean(PlayOutcome::online_share),
+                result.policy,
+                result.mean(SimOutcome::online_share),
                 difference.mean,
                 difference.half_width,
-                part(|o| o.late_all_taken),
-                part(|o| o.late_place_free),
-                part(|o| o.refused),
-                part(|o| o.late_target_failed),
-                played.mean(PlayOutcome::item_share),
-                played.mean(PlayOutcome::asks_per_request),
-                played.mean(|o| o.cut_runs as f64),
+                share(|o| o.late_all_taken),
+                share(|o| o.late_place_free),
+                share(|o| o.refused),
+                share(|o| o.late_target_failed),
+                result.mean(SimOutcome::item_share),
+                result.mean(SimOutcome::slot_requests_per_request),
+                result.mean(|o| o.cut_runs as f64),
             );
         }
         text
--- a/crates/lab/src/gateway.rs
+++ b/crates/lab/src/gateway.rs
@@ -1,36 +1,36 @@
-//! A gateway: the table of targets that ships, and what it runs.
+//! Model of a gateway: the production target table and a queue of job items.
 
 use std::collections::VecDeque;
 
 use notch_relay::prelude::*;
 use notch_types::prelude::*;
 
-/// An item that waits for a place.
+/// A job item that waits for a slot.
 #[derive(Debug, Clone, Copy)]
 pub struct WaitingItem {
-    /// Events that it still needs.
+    /// Events that remain to be generated.
     pub events_left: u32,
-    /// When it is due.
+    /// Its deadline.
     pub due: MonoTime,
 }
 
-/// One gateway.
+/// Model of one gateway.
 #[derive(Debug)]
 pub struct GatewayModel {
-    /// Its name.
+    /// Name of its VM.
     pub vm: VmName,
     /// Its failure domain.
     pub domain: String,
-    /// What it knows of targets.
+    /// The production target table.
     pub table: TargetTable,
-    /// Items that wait, in the order of their due times.
+    /// Waiting items in the order of their deadlines.
     pub items: VecDeque<WaitingItem>,
-    /// It stands still until then.
+    /// The gateway processes no events before this time.
     pub frozen_until: MonoTime,
 }
 
 impl GatewayModel {
-    /// A gateway that knows nothing.
+    /// A gateway with an empty target table.
     pub fn new(number: usize, domain: &str) -> Self {
         Self {
             vm: VmName::new(&format!("g-{number:03}")),
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Puts an item back in its order.
+    /// Queues an item in the order of deadlines.
     pub fn put_item(&mut self, item: WaitingItem) {
         let index = self.items.partition_point(|waiting| waiting.due <= item.due);
         self.items.insert(index, item);
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,7 +1,8 @@
-//! Replays load patterns against the decisions that ship, in virtual time.
+//! Discrete-event simulator that runs load patterns against the production target selection code in
+//! virtual time.
 //!
-//! Gateways, targets and clients are values; the only randomness is a seeded source, so the same pattern,
-//! policy and seed give the same outcome.
+//! Gateways, targets and clients are plain in-memory models, and all randomness comes from one seeded
+//! generator, so the same pattern, policy and seed give the same outcome.
 
 pub mod comparison;
 pub mod gateway;
@@ -9,16 +10,16 @@
 pub mod pattern;
 pub mod policy;
 pub mod schedule;
+pub mod simulation;
 pub mod target;
-pub mod world;
 
-/// What users of the laboratory need.
+/// The types that most users of this crate need.
 pub mod prelude {
     pub use crate::{
         comparison::{PairedDifference, PatternComparison, PolicyOutcomes},
-        outcome::PlayOutcome,
+        outcome::SimOutcome,
         pattern::{LoadPattern, LoadStep, TargetLoss},
         policy::SelectionPolicy,
-        world::LabWorld,
+        simulation::Simulation,
     };
 }
--- a/crates/lab/src/outcome.rs
+++ b/crates/lab/src/outcome.rs
@@ -1,50 +1,50 @@
-//! What a play came to.
+//! Counters that a simulation run reports.
 
 use serde::Serialize;
 
-/// What a play came to.
+/// Counters of one simulation run.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
-pub struct PlayOutcome {
-    /// Online requests that came.
+pub struct SimOutcome {
+    /// Online requests that arrived.
     pub online: u64,
-    /// Their first event came within the objective.
+    /// Online requests whose first event arrived within the latency objective.
     pub in_time: u64,
-    /// Late: every place was taken, or queued for, when the target was chosen.
+    /// Other late requests: every slot was taken, or queued for, when the target was selected.
     pub late_all_taken: u64,
-    /// Late: a place was free elsewhere then.
+    /// Late requests that were sent to a full target while another target had a free slot.
     pub late_place_free: u64,
-    /// Late: a target failed it first.
+    /// Late requests that had first failed at another target.
     pub late_target_failed: u64,
-    /// Told to come back, or given up.
+    /// Online requests rejected with a retry hint, or given up after the last attempt.
     pub refused: u64,
-    /// Places asked for at other gateways.
+    /// Slot requests sent to home gateways.
     pub asks: u64,
-    /// Items whose time to be done came.
+    /// Job items that arrived.
     pub items: u64,
-    /// Done before they were due.
+    /// Items completed before their deadline.
     pub items_in_time: u64,
-    /// Runs of items that were broken off for online requests.
+    /// Item runs preempted in favour of online requests.
     pub cut_runs: u64,
 }
 
-impl PlayOutcome {
-    /// Share of online requests in time.
+impl SimOutcome {
+    /// Share of online requests that met the latency objective.
     pub fn online_share(&self) -> f64 {
         self.in_time as f64 / self.online.max(1) as f64
     }
 
-    /// Share of items in time.
+    /// Share of items completed before their deadline.
     pub fn item_share(&self) -> f64 {
         self.items_in_time as f64 / self.items.max(1) as f64
     }
 
-    /// Share of online requests that were late though a place was free elsewhere.
-    pub fn place_free_share(&self) -> f64 {
+    /// Share of online requests that were late although another target had a free slot.
+    pub fn free_slot_missed_share(&self) -> f64 {
         self.late_place_free as f64 / self.online.max(1) as f64
     }
 
-    /// Asks for a place, for each online request.
-    pub fn asks_per_request(&self) -> f64 {
+    /// Slot requests to home gateways per online request.
+    pub fn slot_requests_per_request(&self) -> f64 {
         self.asks as f64 / self.online.max(1) as f64
     }
 }
--- a/crates/lab/src/pattern.rs
+++ b/crates/lab/src/pattern.rs
@@ -1,77 +1,77 @@
-//! Load patterns: what comes, on which targets, and what breaks.
+//! Load patterns: the arriving load, the fleet that serves it and the failures injected.
 
 use std::time::Duration;
 
-/// Online requests from a moment on, as a multiple of the pattern's rate.
+/// A change of the online request rate, as a multiple of the pattern's base rate.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LoadStep {
-    /// From the start of the play.
+    /// When the step takes effect, from the start of the simulation.
     pub at: Duration,
-    /// Multiple of the rate.
+    /// Multiple of the base rate.
     pub factor: f64,
 }
 
-/// Targets that are lost at once.
+/// A simultaneous failure of several targets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TargetLoss {
-    /// From the start of the play.
+    /// When the targets fail, from the start of the simulation.
     pub at: Duration,
-    /// How many.
+    /// Number of targets that fail.
     pub count: usize,
 }
 
-/// A gateway that stands still for a while: it answers nobody, and what comes to it waits.
+/// A freeze of several gateways: they process nothing, and events for them wait until it ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GatewayFreeze {
-    /// From the start of the play.
+    /// When the freeze begins, from the start of the simulation.
     pub at: Duration,
-    /// For how long.
+    /// Length of the freeze.
     pub span: Duration,
-    /// How many gateways.
+    /// Number of gateways that freeze.
     pub count: usize,
 }
 
-/// One load on one fleet.
+/// A load and the fleet that it runs on.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoadPattern {
-    /// Its name on the command line.
+    /// Name on the command line.
     pub name: &'static str,
-    /// How long clients send.
+    /// How long clients send requests and jobs.
     pub span: Duration,
-    /// Gateways, spread over the failure domains.
+    /// Number of gateways, spread evenly over the failure domains.
     pub gateways: usize,
-    /// Targets, spread over the failure domains.
+    /// Number of targets, spread evenly over the failure domains.
     pub targets: usize,
-    /// Failure domains.
+    /// Number of failure domains.
     pub domains: usize,
-    /// Places of a target.
+    /// Slots per target.
     pub slots: u32,
-    /// Requests that a target queues beyond its places.
+    /// Requests that a target queues once its slots are taken.
     pub queue: u32,
-    /// Online requests a second, at a factor of 1.
+    /// Base rate: online requests per second at a factor of 1.
     pub online_per_second: f64,
-    /// Changes of the rate, in order. The last one before a moment counts.
+    /// Rate changes in order of time. The latest step that has been reached applies.
     pub steps: Vec<LoadStep>,
-    /// Events of an online answer.
+    /// Streamed events per online answer.
     pub online_events: u32,
-    /// From the arrival to the first event, for an answer to be in time.
+    /// Latency objective from a request's arrival to its first event.
     pub objective: Duration,
-    /// Items a second. They come in jobs of ten.
+    /// Job items per second. They arrive in jobs of ten.
     pub items_per_second: f64,
-    /// Events of an item's answer.
+    /// Streamed events per item answer.
     pub item_events: u32,
-    /// From a job's arrival until its items are due.
+    /// Time from a job's arrival to its deadline.
     pub due: Duration,
-    /// One way between gateways, and from a gateway to a target.
+    /// One-way network delay between gateways, and between a gateway and a target.
     pub delay: Duration,
-    /// Targets that are lost.
+    /// Target failures to inject.
     pub losses: Vec<TargetLoss>,
-    /// Gateways that stand still.
+    /// Gateway freezes to inject.
     pub freezes: Vec<GatewayFreeze>,
 }
 
 impl Default for LoadPattern {
-    /// Crests that take nine tenths of all places for 2.4 s of each 5.8 s, with jobs between.
+    /// Load peaks that take nine tenths of all slots for 2.4 s of each 5.8 s, with jobs filling the rest.
     fn default() -> Self {
         Self {
             name: "crests",
@@ -82,7 +82,7 @@
             slots: 7,
             queue: 24,
             online_per_second: 270.0,
-            steps: crests(1.87),
+            steps: peaks(1.87),
             online_events: 35,
             objective: Duration::from_millis(300),
             items_per_second: 32.0,
@@ -95,24 +95,24 @@
     }
 }
 
-/// Alternates between a trough and a crest of `factor`.
-fn crests(factor: f64) -> Vec<LoadStep> {
-    let trough = |number: u32| LoadStep { at: CREST_PERIOD * number, factor: 0.383 };
-    let crest = |number: u32| LoadStep { at: CREST_PERIOD * number + CREST_START, factor };
-    (0..6).flat_map(|number| [trough(number), crest(number)]).collect()
+/// Six periods, each with a trough followed by a peak of `factor`.
+fn peaks(factor: f64) -> Vec<LoadStep> {
+    let trough = |number: u32| LoadStep { at: PEAK_PERIOD * number, factor: 0.383 };
+    let peak = |number: u32| LoadStep { at: PEAK_PERIOD * number + PEAK_START, factor };
+    (0..6).flat_map(|number| [trough(number), peak(number)]).collect()
 }
 
-/// From one trough to the next.
-const CREST_PERIOD: Duration = Duration::from_millis(5_800);
-/// From the beginning of a trough to the crest.
-const CREST_START: Duration = Duration::from_millis(3_400);
+/// From the start of one trough to the start of the next.
+const PEAK_PERIOD: Duration = Duration::from_millis(5_800);
+/// From the start of a trough to the start of its peak.
+const PEAK_START: Duration = Duration::from_millis(3_400);
 
-/// The same of short replies.
+/// [`PEAK_PERIOD`] and [`PEAK_START`] of the short-replies pattern.
 const REPLY_PERIOD: Duration = Duration::from_secs(6);
-const REPLY_CREST_START: Duration = Duration::from_millis(3_600);
+const REPLY_PEAK_START: Duration = Duration::from_millis(3_600);
 
 impl LoadPattern {
-    /// Every pattern there is.
+    /// All predefined patterns.
     pub fn all() -> Vec<Self> {
         let base = Self::default;
         let lost = TargetLoss { at: Duration::from_millis(8_500), count: 9 };
@@ -130,19 +130,19 @@
                 items_per_second: 40.0,
                 ..base()
             },
-            Self { name: "overload", steps: crests(2.4), ..base() },
+            Self { name: "overload", steps: peaks(2.4), ..base() },
             Self { name: "lost-targets", losses: vec![lost], ..base() },
             Self { name: "frozen-gateways", freezes: vec![freeze], ..base() },
             Self::short_replies(),
         ]
     }
 
-    /// Short replies on targets with eight places: crests of 2.4 s in each 6 s that need over half of the places,
-    /// beside jobs.
+    /// Short replies on targets with eight slots: peaks of 2.4 s in each 6 s that need over half of the slots,
+    /// alongside jobs.
     fn short_replies() -> Self {
         let trough = |number: u32| LoadStep { at: REPLY_PERIOD * number, factor: 0.391 };
-        let crest =
-            |number: u32| LoadStep { at: REPLY_PERIOD * number + REPLY_CREST_START, factor: 1.91 };
+        let peak =
+            |number: u32| LoadStep { at: REPLY_PERIOD * number + REPLY_PEAK_START, factor: 1.91 };
         Self {
             name: "short-replies",
             gateways: 24,
@@ -150,7 +150,7 @@
             domains: 3,
             slots: 8,
             online_per_second: 198.0,
-            steps: (0..5).flat_map(|number| [trough(number), crest(number)]).collect(),
+            steps: (0..5).flat_map(|number| [trough(number), peak(number)]).collect(),
             online_events: 22,
             items_per_second: 22.0,
             item_events: 154,
@@ -158,12 +158,12 @@
         }
     }
 
-    /// The pattern with that name.
+    /// Finds a predefined pattern by its name.
     pub fn named(name: &str) -> Option<Self> {
         Self::all().into_iter().find(|pattern| pattern.name == name)
     }
 
-    /// Online requests a second at `at`.
+    /// Online requests per second at `at`.
     pub fn online_rate(&self, at: Duration) -> f64 {
         let step = self.steps.iter().rev().find(|step| step.at <= at);
         self.online_per_second * step.map_or(1.0, |step| step.factor)
--- a/crates/lab/src/policy.rs
+++ b/crates/lab/src/policy.rs
@@ -1,22 +1,25 @@
-//! Ways to choose a target that are compared.
+//! The target selection policies that the simulator compares.
 
 use std::{fmt, str::FromStr};
 
-/// How gateways choose targets.
+/// How gateways select targets for requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SelectionPolicy {
-    /// By reports of the others' use alone.
-    Reports,
-    /// Places at another gateway's targets are asked for, as shipped.
-    Homes,
-    /// One that sees every target as it is at each moment.
-    AllKnowing,
+    /// Uses only the periodic usage reports of the other gateways.
+    UsageReports,
+    /// Requests slots from the home gateways of other targets. This is the production behaviour.
+    HomeGateways,
+    /// Sees the current state of every target without delay: a baseline that no real gateway can reach.
+    Oracle,
 }
 
 impl SelectionPolicy {
-    /// Each policy with its name on the command line.
-    pub const ALL: [(&'static str, Self); 3] =
-        [("reports", Self::Reports), ("homes", Self::Homes), ("all-knowing", Self::AllKnowing)];
+    /// Every policy with its command-line name.
+    pub const ALL: [(&'static str, Self); 3] = [
+        ("reports", Self::UsageReports),
+        ("homes", Self::HomeGateways),
+        ("all-knowing", Self::Oracle),
+    ];
 }
 
 impl fmt::Display for SelectionPolicy {
--- a/crates/lab/src/schedule.rs
+++ b/crates/lab/src/schedule.rs
@@ -1,4 +1,4 @@
-//! Events in virtual time.
+//! Event queue with a virtual clock.
 
 use std::{cmp::Reverse, collections::BinaryHeap, time::Duration};
 
@@ -7,7 +7,7 @@
 #[derive(Debug)]
 struct ScheduledEvent<T> {
     at: MonoTime,
-    /// Events of the same moment come in the order in which they were scheduled.
+    /// Sequence number: events due at the same time fire in the order in which they were scheduled.
     number: u64,
     event: T,
 }
@@ -38,7 +38,7 @@
     }
 }
 
-/// Events to come, and the time.
+/// Pending events, and the virtual clock that advances as they are taken.
 #[derive(Debug)]
 pub struct EventSchedule<T> {
     now: MonoTime,
@@ -53,19 +53,19 @@
 }
 
 impl<T> EventSchedule<T> {
-    /// The time of the event that came last.
+    /// Current virtual time: the time of the last event taken.
     pub fn now(&self) -> MonoTime {
         self.now
     }
 
-    /// Adds an event that comes after `wait`.
+    /// Schedules an event to fire `wait` from now.
     pub fn add(&mut self, wait: Duration, event: T) {
         self.number += 1;
         let at = self.now + wait;
         self.events.push(ScheduledEvent { at, number: self.number, event });
     }
 
-    /// The next event; the time becomes its time.
+    /// Removes the earliest event and advances the clock to its time.
     pub fn next_event(&mut self) -> Option<T> {
         let next = self.events.pop()?;
         self.now = next.at;
--- a/crates/lab/src/world/items.rs
+++ b/crates/lab/src/simulation/items.rs
@@ -1,4 +1,4 @@
-//! Items of jobs: when they start, and when they yield.
+//! Job items: when they start, and when they are preempted.
 
 use std::{sync::LazyLock, time::Duration};
 
@@ -9,14 +9,14 @@
 use crate::{
     gateway::WaitingItem,
     policy::SelectionPolicy,
+    simulation::{ITEM_START_INTERVAL, RunOutcome, RunWork, SERVICE, SimEvent, SimRun, Simulation},
     target::RunNumber,
-    world::{ITEMS_EVERY, LabEvent, LabRun, LabWorld, RunOutcome, RunWork, SERVICE},
 };
 
-/// Items of one job.
-const JOB_ITEMS: u32 = 10;
-/// Items started in one pass, at most.
-const STARTS_PER_PASS: usize = 6;
+/// Items per job.
+const ITEMS_PER_JOB: u32 = 10;
+/// Most items that a gateway starts in one pass.
+const MAX_STARTS_PER_PASS: usize = 6;
 
 fn item_query() -> TargetQuery<'static> {
     static NO_PROMPT: LazyLock<PromptHeads> = LazyLock::new(PromptHeads::default);
@@ -24,59 +24,59 @@
     TargetQuery { service: SERVICE, work, avoid: &[], queue, prompt: &NO_PROMPT }
 }
 
-impl LabWorld {
-    pub(super) fn job_arrives(&mut self) {
+impl Simulation {
+    pub(super) fn handle_job_arrival(&mut self) {
         if !self.has_arrivals() || self.pattern.items_per_second <= 0.0 {
             return;
         }
-        let rate = self.pattern.items_per_second / f64::from(JOB_ITEMS);
+        let rate = self.pattern.items_per_second / f64::from(ITEMS_PER_JOB);
         let gap = -(1.0 - self.random.random::<f64>()).ln() / rate;
-        self.schedule.add(Duration::from_secs_f64(gap), LabEvent::JobArrives);
+        self.schedule.add(Duration::from_secs_f64(gap), SimEvent::JobArrival);
         let gateway = self.random.random_range(0..self.gateways.len());
         let due = self.now() + self.pattern.due;
-        for _ in 0..JOB_ITEMS {
+        for _ in 0..ITEMS_PER_JOB {
             let events_left = self.pattern.item_events;
             self.gateways[gateway].put_item(WaitingItem { events_left, due });
         }
-        self.outcome.items += u64::from(JOB_ITEMS);
+        self.outcome.items += u64::from(ITEMS_PER_JOB);
     }
 
-    pub(super) fn run_items(&mut self, gateway: usize) {
+    pub(super) fn start_items(&mut self, gateway: usize) {
         if self.is_over() {
             return;
         }
-        for _ in 0..STARTS_PER_PASS {
+        for _ in 0..MAX_STARTS_PER_PASS {
             let Some(item) = self.gateways[gateway].items.front().copied() else { break };
             let Some(choice) = self.choose_for_item(gateway) else { break };
             self.gateways[gateway].items.pop_front();
             self.start(gateway, &choice, RunWork::Item { due: item.due }, item.events_left);
         }
-        self.make_room(gateway);
-        self.schedule.add(ITEMS_EVERY, LabEvent::RunItems { gateway });
+        self.preempt_for_queue(gateway);
+        self.schedule.add(ITEM_START_INTERVAL, SimEvent::StartItems { gateway });
     }
 
     fn choose_for_item(&mut self, gateway: usize) -> Option<TargetChoice> {
         let now = self.now();
-        if self.policy == SelectionPolicy::AllKnowing {
-            let free = (0..self.targets.len()).max_by_key(|n| self.open_places(*n))?;
+        if self.policy == SelectionPolicy::Oracle {
+            let free = (0..self.targets.len()).max_by_key(|n| self.free_slots(*n))?;
             let id = &self.target_ids[free];
-            let has_place = self.open_places(free) > 1;
+            let has_slot = self.free_slots(free) > 1;
             let table = &mut self.gateways[gateway].table;
-            return if has_place { table.take_granted(&item_query(), id) } else { None };
+            return if has_slot { table.take_granted(&item_query(), id) } else { None };
         }
         let table = &mut self.gateways[gateway].table;
         let random = &mut self.random;
         table.choose(&item_query(), now, || random.random())
     }
 
-    /// Breaks off own items at targets where online requests wait behind them.
-    fn make_room(&mut self, gateway: usize) {
-        if self.policy == SelectionPolicy::AllKnowing {
+    /// Preempts own items at targets where online requests wait behind them.
+    fn preempt_for_queue(&mut self, gateway: usize) {
+        if self.policy == SelectionPolicy::Oracle {
             return;
         }
         let mut counts: FastMap<usize, Vec<RunNumber>> = FastMap::default();
         for (number, run) in &self.runs {
-            if run.gateway == gateway && run.yields() {
+            if run.gateway == gateway && run.is_preemptible() {
                 counts.entry(run.target).or_default().push(*number);
             }
         }
@@ -88,57 +88,58 @@
             let count = table.items_to_preempt(&self.target_ids[target], || random.random());
             runs.sort_unstable_by(|a, b| b.cmp(a));
             for run in runs.into_iter().take(count as usize) {
-                self.break_off(run);
+                self.preempt(run);
             }
         }
     }
 
-    /// Has an item yield its place at a target of `home`.
-    pub(super) fn revoke(&mut self, home: usize, id: &str, yields: &ItemYield) {
+    /// Preempts an item at a target of `home`, directly or by a message to the gateway that runs the item.
+    pub(super) fn revoke_slot(&mut self, home: usize, id: &str, yields: &ItemYield) {
         match yields {
-            ItemYield::Own => self.yield_place(home, id),
+            ItemYield::Own => self.preempt_own_item(home, id),
             ItemYield::Peer(vm) => {
                 let Some(gateway) = self.gateways.iter().position(|g| g.vm == *vm) else { return };
                 let target = id.to_owned();
-                self.schedule.add(self.pattern.delay, LabEvent::Revoke { gateway, target });
+                self.schedule.add(self.pattern.delay, SimEvent::RevokeSlot { gateway, target });
             }
         }
     }
 
-    /// Breaks off the own item that began last at a target, if there is one.
-    pub(super) fn yield_place(&mut self, gateway: usize, id: &str) {
+    /// Preempts the gateway's own item that started last at a target, if there is one.
+    pub(super) fn preempt_own_item(&mut self, gateway: usize, id: &str) {
         let own = self.runs.iter().filter(|(_, run)| {
-            run.gateway == gateway && run.yields() && self.target_ids[run.target] == id
+            run.gateway == gateway && run.is_preemptible() && self.target_ids[run.target] == id
         });
         if let Some(run) = own.map(|(number, _)| *number).max() {
-            self.break_off(run);
+            self.preempt(run);
         }
     }
 
-    /// The item that began last at a target, whosoever it is.
+    /// The preemptible item that started last at a target, whichever gateway runs it.
     pub(super) fn item_at(&self, target: usize) -> Option<RunNumber> {
         let running = self.targets[target].running().iter().copied();
-        let items = running.filter(|number| self.runs.get(number).is_some_and(LabRun::yields));
+        let items =
+            running.filter(|number| self.runs.get(number).is_some_and(SimRun::is_preemptible));
         items.max()
     }
 
-    pub(super) fn break_off(&mut self, run: RunNumber) {
+    pub(super) fn preempt(&mut self, run: RunNumber) {
         if let Some(run) = self.runs.get_mut(&run) {
-            run.is_cut = true;
+            run.is_preempted = true;
         }
         self.outcome.cut_runs += 1;
         let delay = match self.policy {
-            SelectionPolicy::AllKnowing => Duration::ZERO,
-            SelectionPolicy::Reports | SelectionPolicy::Homes => self.pattern.delay,
+            SelectionPolicy::Oracle => Duration::ZERO,
+            SelectionPolicy::UsageReports | SelectionPolicy::HomeGateways => self.pattern.delay,
         };
-        self.schedule.add(delay, LabEvent::Cut { run });
+        self.schedule.add(delay, SimEvent::Preempt { run });
     }
 
-    pub(super) fn end_item(&mut self, gateway: usize, item: WaitingItem, outcome: RunOutcome) {
+    pub(super) fn finish_item(&mut self, gateway: usize, item: WaitingItem, outcome: RunOutcome) {
         match outcome {
-            RunOutcome::Whole if self.now() <= item.due => self.outcome.items_in_time += 1,
-            RunOutcome::Whole => {}
-            RunOutcome::Cut | RunOutcome::Failed(_) => self.gateways[gateway].put_item(item),
+            RunOutcome::Completed if self.now() <= item.due => self.outcome.items_in_time += 1,
+            RunOutcome::Completed => {}
+            RunOutcome::Preempted | RunOutcome::Failed(_) => self.gateways[gateway].put_item(item),
         }
     }
 }
--- a/crates/lab/src/world/online.rs
+++ b/crates/lab/src/simulation/online.rs
@@ -1,4 +1,4 @@
-//! Online requests: how a target is chosen, asked for and failed.
+//! Online requests: target selection, slot requests to home gateways and retries after failures.
 
 use std::{sync::LazyLock, time::Duration};
 
@@ -8,43 +8,43 @@
 
 use crate::{
     policy::SelectionPolicy,
+    simulation::{RunOutcome, RunWork, SERVICE, SimEvent, SimRequest, SimRun, Simulation},
     target::RunNumber,
-    world::{LabEvent, LabRequest, LabRun, LabWorld, RunOutcome, RunWork, SERVICE},
 };
 
-/// Longest wait for a home's answer.
-const ANSWER_WAIT: Duration = Duration::from_millis(30);
-/// Attempts at targets, at most.
-const ATTEMPTS: usize = 3;
+/// Longest wait for a home gateway's response.
+const SLOT_TIMEOUT: Duration = Duration::from_millis(30);
+/// Most attempts per online request.
+const MAX_ATTEMPTS: usize = 3;
 
-fn online_query(request: &LabRequest, queue: QueueLimit) -> TargetQuery<'_> {
+fn online_query(request: &SimRequest, queue: QueueLimit) -> TargetQuery<'_> {
     static NO_PROMPT: LazyLock<PromptHeads> = LazyLock::new(PromptHeads::default);
     let (work, avoid) = (WorkKind::Online, request.avoid.as_slice());
     TargetQuery { service: SERVICE, work, avoid, queue, prompt: &NO_PROMPT }
 }
 
-impl LabWorld {
-    pub(super) fn arrive(&mut self) {
+impl Simulation {
+    pub(super) fn handle_arrival(&mut self) {
         if !self.has_arrivals() {
             return;
         }
         let rate = self.pattern.online_rate(Duration::from_micros(self.now().0));
         let gap = -(1.0 - self.random.random::<f64>()).ln() / rate.max(f64::MIN_POSITIVE);
-        self.schedule.add(Duration::from_secs_f64(gap.min(1.0)), LabEvent::Arrive);
+        self.schedule.add(Duration::from_secs_f64(gap.min(1.0)), SimEvent::OnlineArrival);
         let gateway = self.random.random_range(0..self.gateways.len());
         let request = self.requests.len();
         let arrived = self.now();
-        self.requests.push(LabRequest { gateway, arrived, ..LabRequest::default() });
+        self.requests.push(SimRequest { gateway, arrived, ..SimRequest::default() });
         self.outcome.online += 1;
-        self.schedule.add(Duration::ZERO, LabEvent::Attempt { request });
+        self.schedule.add(Duration::ZERO, SimEvent::Attempt { request });
     }
 
     pub(super) fn attempt(&mut self, request: usize) {
-        if self.policy == SelectionPolicy::AllKnowing {
-            return self.attempt_knowing(request);
+        if self.policy == SelectionPolicy::Oracle {
+            return self.attempt_as_oracle(request);
         }
-        if self.policy == SelectionPolicy::Homes {
-            return self.search_place(request);
+        if self.policy == SelectionPolicy::HomeGateways {
+            return self.search_slot(request);
         }
         let (now, queue) = (self.now(), QueueLimit::Within(self.pattern.objective));
         let asking = &self.requests[request];
@@ -54,16 +54,16 @@
         match table.choose(&query, now, || random.random()) {
             Some(choice) => {
                 if !choice.place_free {
-                    self.yield_place(asking.gateway, &choice.id);
+                    self.preempt_own_item(asking.gateway, &choice.id);
                 }
-                self.send(request, &choice);
+                self.send_to_target(request, &choice);
             }
             None => self.outcome.refused += 1,
         }
     }
 
-    /// Takes the next step of the search that ships.
-    fn search_place(&mut self, request: usize) {
+    /// Takes the next step of the production slot search.
+    fn search_slot(&mut self, request: usize) {
         let (now, queue) = (self.now(), QueueLimit::Within(self.pattern.objective));
         let gateway = self.requests[request].gateway;
         let mut search = std::mem::take(&mut self.requests[request].search);
@@ -75,9 +75,9 @@
         match step {
             Some(PlaceStep::Take(choice, yields)) => {
                 if let Some(yields) = yields {
-                    self.revoke(gateway, &choice.id, &yields);
+                    self.revoke_slot(gateway, &choice.id, &yields);
                 }
-                self.send(request, &choice);
+                self.send_to_target(request, &choice);
             }
             Some(PlaceStep::Ask { home, may_displace }) => self.ask(request, &home, may_displace),
             None => self.outcome.refused += 1,
@@ -88,16 +88,16 @@
         let home = self.gateways.iter().position(|gateway| gateway.vm == *home);
         let home = home.unwrap_or_default();
         self.outcome.asks += 1;
-        let asking = &mut self.requests[request];
-        asking.asked += 1;
-        asking.asking = asking.asked;
-        let number = asking.asked;
+        let state = &mut self.requests[request];
+        state.slot_requests += 1;
+        state.pending_request = state.slot_requests;
+        let number = state.slot_requests;
         self.schedule
-            .add(self.pattern.delay, LabEvent::Ask { request, number, home, may_displace });
-        self.schedule.add(ANSWER_WAIT, LabEvent::AskTimeout { request, number, home });
+            .add(self.pattern.delay, SimEvent::SlotRequest { request, number, home, may_displace });
+        self.schedule.add(SLOT_TIMEOUT, SimEvent::SlotTimeout { request, number, home });
     }
 
-    pub(super) fn take_ask(
+    pub(super) fn handle_slot_request(
         &mut self,
         request: usize,
         number: u32,
@@ -110,7 +110,7 @@
         let query = online_query(asking, QueueLimit::Any);
         let grant = self.gateways[home].table.grant(&peer, &query, may_displace, now);
         if let Some(PlaceGrant { id, yields: Some(yields) }) = &grant {
-            self.revoke(home, id, yields);
+            self.revoke_slot(home, id, yields);
         }
         let target = grant.map(|grant| grant.id);
         let table = &self.gateways[home].table;
@@ -120,11 +120,11 @@
                 table.shortest_queue(&online_query(&self.requests[request], QueueLimit::Any), now)
             }
         };
-        let answer = LabEvent::Answer { request, number, home, target, offer };
+        let answer = SimEvent::SlotResponse { request, number, home, target, offer };
         self.schedule.add(self.pattern.delay, answer);
     }
 
-    pub(super) fn take_answer(
+    pub(super) fn handle_slot_response(
         &mut self,
         request: usize,
         number: u32,
@@ -133,31 +133,31 @@
         offer: Option<QueueOffer>,
     ) {
         let from = self.requests[request].gateway;
-        if self.requests[request].asking != number {
+        if self.requests[request].pending_request != number {
             if let Some(target) = target {
                 let (work, change) = (WorkKind::Online, UseChange::End);
-                let told = LabEvent::PeerUse { home, from, target, work, change };
-                self.schedule.add(self.pattern.delay, told);
+                let message = SimEvent::PeerUse { home, from, target, work, change };
+                self.schedule.add(self.pattern.delay, message);
             }
             return;
         }
-        self.requests[request].asking = 0;
+        self.requests[request].pending_request = 0;
         let Some(target) = target else { return self.note_denied(request, home, offer) };
         let query = online_query(&self.requests[request], QueueLimit::Any);
         let granted = self.gateways[from].table.take_granted(&query, &target);
         match granted {
-            Some(choice) => self.send(request, &choice),
+            Some(choice) => self.send_to_target(request, &choice),
             None => self.note_denied(request, home, None),
         }
     }
 
-    pub(super) fn time_out(&mut self, request: usize, number: u32, home: usize) {
-        if self.requests[request].asking != number {
+    pub(super) fn timeout(&mut self, request: usize, number: u32, home: usize) {
+        if self.requests[request].pending_request != number {
             return;
         }
         let (now, vm) = (self.now(), self.gateways[home].vm.clone());
         let asking = &mut self.requests[request];
-        asking.asking = 0;
+        asking.pending_request = 0;
         asking.search.note_silent(&mut self.gateways[asking.gateway].table, &vm, now);
         self.attempt(request);
     }
@@ -169,45 +169,46 @@
         self.attempt(request);
     }
 
-    fn send(&mut self, request: usize, choice: &TargetChoice) {
+    fn send_to_target(&mut self, request: usize, choice: &TargetChoice) {
         let chosen = self.target_ids.iter().position(|id| *id == choice.id).unwrap_or_default();
         let is_free = |target: &crate::target::TargetModel| target.free() > 0;
         let missed = !is_free(&self.targets[chosen]) && self.targets.iter().any(is_free);
-        self.requests[request].missed_place |= missed;
+        self.requests[request].missed_free_slot |= missed;
         let gateway = self.requests[request].gateway;
         let events = self.pattern.online_events;
         self.start(gateway, choice, RunWork::Online { request }, events);
     }
 
-    /// Sees every target as it is: a free place if there is one, else an item's, else the shortest queue.
-    fn attempt_knowing(&mut self, request: usize) {
+    /// Selects with full knowledge of all targets: a free slot if there is one, else an item's slot, else the
+    /// shortest queue.
+    fn attempt_as_oracle(&mut self, request: usize) {
         let alive = (0..self.targets.len()).filter(|n| !self.targets[*n].is_lost());
         let best = alive.min_by_key(|n| {
             let target = &self.targets[*n];
-            let waiting = target.waiting() + self.coming[*n];
-            let is_full = self.open_places(*n) == 0;
+            let waiting = target.waiting() + self.in_transit[*n];
+            let is_full = self.free_slots(*n) == 0;
             (is_full, self.item_at(*n).is_none(), waiting, target.running().len())
         });
         let Some(best) = best else {
             self.outcome.refused += 1;
             return;
         };
-        if self.open_places(best) == 0
+        if self.free_slots(best) == 0
             && let Some(item) = self.item_at(best)
         {
-            self.break_off(item);
+            self.preempt(item);
         }
         let gateway = self.requests[request].gateway;
         let query = online_query(&self.requests[request], QueueLimit::Any);
         let choice = self.gateways[gateway].table.take_granted(&query, &self.target_ids[best]);
         match choice {
-            Some(choice) => self.send(request, &choice),
+            Some(choice) => self.send_to_target(request, &choice),
             None => self.outcome.refused += 1,
         }
     }
 
-    pub(super) fn note_first_event(&mut self, number: RunNumber) {
-        let Some(LabRun { work: RunWork::Online { request }, gateway, .. }) =
+    pub(super) fn record_first_event(&mut self, number: RunNumber) {
+        let Some(SimRun { work: RunWork::Online { request }, gateway, .. }) =
             self.runs.get(&number)
         else {
             return;
@@ -219,27 +220,27 @@
                 &mut self.outcome.in_time
             }
             () if request.has_failed => &mut self.outcome.late_target_failed,
-            () if request.missed_place => &mut self.outcome.late_place_free,
+            () if request.missed_free_slot => &mut self.outcome.late_place_free,
             () => &mut self.outcome.late_all_taken,
         };
         *counter += 1;
     }
 
-    pub(super) fn end_online(&mut self, request: usize, run: &LabRun, outcome: RunOutcome) {
-        if outcome == RunOutcome::Whole {
+    pub(super) fn finish_online(&mut self, request: usize, run: &SimRun, outcome: RunOutcome) {
+        if outcome == RunOutcome::Completed {
             let took = self.now().since(run.began);
             let first = self.targets[run.target].first_event();
             let table = &mut self.gateways[run.gateway].table;
             return table.note_online_run(SERVICE, took, Some(first));
         }
-        // A stream that had begun goes on elsewhere; the laboratory counts first events only.
-        if run.has_event {
+        // A stream that had started is resumed elsewhere, which isn't simulated: only first events count.
+        if run.has_first_event {
             return;
         }
         let failed = &mut self.requests[request];
         failed.has_failed = true;
         failed.avoid.push(self.target_ids[run.target].clone());
-        if failed.avoid.len() >= ATTEMPTS {
+        if failed.avoid.len() >= MAX_ATTEMPTS {
             self.outcome.refused += 1;
         } else {
             self.attempt(request);
--- a/crates/lab/src/target.rs
+++ b/crates/lab/src/target.rs
@@ -1,53 +1,53 @@
-//! A target as it admits requests: places, a queue in order of arrival, events at the pace of its load.
+//! Model of a target: a fixed number of slots, a FIFO queue, and event intervals that grow with its load.
 
 use std::{collections::VecDeque, time::Duration};
 
-/// A step of the batch, whatever runs.
-const STEP: Duration = Duration::from_micros(2_530);
-/// Added to a step for each request that runs.
-const STEP_PER_RUN: Duration = Duration::from_micros(60);
-/// Steps for one event.
+/// Duration of an engine step, without the share of the running requests.
+const BASE_STEP: Duration = Duration::from_micros(2_530);
+/// Added to a step for each running request.
+const STEP_PER_RUNNING_REQUEST: Duration = Duration::from_micros(60);
+/// Engine steps per streamed event.
 const STEPS_PER_EVENT: u32 = 7;
-/// From the place to the first event, without the reading of the prompt.
-const FIRST_EVENT: Duration = Duration::from_millis(11);
-/// Reading a prompt of some 450 tokens.
-const PREFILL: Duration = Duration::from_micros(5_300);
+/// Latency from taking a slot to the first event, without prefill.
+const FIRST_EVENT_LATENCY: Duration = Duration::from_millis(11);
+/// Prefill of a prompt of about 450 tokens.
+const PREFILL_TIME: Duration = Duration::from_micros(5_300);
 
-/// A request at a target, by number.
+/// Identifies one request at a target.
 pub type RunNumber = u64;
 
-/// One target.
+/// Model of one target.
 #[derive(Debug, Clone)]
 pub struct TargetModel {
     slots: usize,
     queue: usize,
-    /// How much slower than others it is.
-    slowness: f64,
+    /// Factor by which this target is slower than the fastest ones.
+    slowdown: f64,
     running: Vec<RunNumber>,
     waiting: VecDeque<RunNumber>,
     is_lost: bool,
 }
 
-/// What becomes of a request that comes.
+/// How a target admits an arriving request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// It has a place.
+    /// It took a free slot.
     Runs,
-    /// It waits.
+    /// It waits in the queue.
     Waits,
-    /// The queue is full, or the target is gone.
+    /// The queue is full, or the target has failed.
     Refused,
 }
 
 impl TargetModel {
     /// An idle target.
-    pub fn new(slots: u32, queue: u32, slowness: f64) -> Self {
+    pub fn new(slots: u32, queue: u32, slowdown: f64) -> Self {
         let (slots, queue) = (slots as usize, queue as usize);
         let (running, waiting) = (Vec::new(), VecDeque::new());
-        Self { slots, queue, slowness, running, waiting, is_lost: false }
+        Self { slots, queue, slowdown, running, waiting, is_lost: false }
     }
 
-    /// A request comes.
+    /// Admits an arriving request to a slot or the queue, or refuses it.
     pub fn admit(&mut self, run: RunNumber) -> Admission {
         if self.is_lost || self.waiting.len() >= self.queue {
             return Admission::Refused;
@@ -60,7 +60,7 @@
         Admission::Waits
     }
 
-    /// A request ended or was broken off; the one that gets its place.
+    /// Removes a request that completed or was preempted, and returns the queued request that gets its slot.
     pub fn release(&mut self, run: RunNumber) -> Option<RunNumber> {
         self.waiting.retain(|waiting| *waiting != run);
         let index = self.running.iter().position(|running| *running == run)?;
@@ -70,42 +70,42 @@
         Some(next)
     }
 
-    /// The target is gone; the requests that it had.
-    pub fn lose(&mut self) -> Vec<RunNumber> {
+    /// Marks the target as failed and returns the requests that it held.
+    pub fn fail(&mut self) -> Vec<RunNumber> {
         self.is_lost = true;
         let mut lost = std::mem::take(&mut self.running);
         lost.extend(std::mem::take(&mut self.waiting));
         lost
     }
 
-    /// Places that nothing has.
+    /// Number of free slots.
     pub fn free(&self) -> usize {
         if self.is_lost { 0 } else { self.slots - self.running.len() }
     }
 
-    /// Requests that run.
+    /// The running requests.
     pub fn running(&self) -> &[RunNumber] {
         &self.running
     }
 
-    /// Requests that wait.
+    /// Number of queued requests.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether it's gone.
+    /// Whether the target has failed.
     pub fn is_lost(&self) -> bool {
         self.is_lost
     }
 
-    /// From the place to the first event.
+    /// Time from taking a slot to the first event.
     pub fn first_event(&self) -> Duration {
-        (FIRST_EVENT + PREFILL).mul_f64(self.slowness)
+        (FIRST_EVENT_LATENCY + PREFILL_TIME).mul_f64(self.slowdown)
     }
 
-    /// From one event to the next.
+    /// Time between two events at the current load.
     pub fn event_gap(&self) -> Duration {
-        let step = STEP + STEP_PER_RUN * self.running.len() as u32;
-        (step * STEPS_PER_EVENT).mul_f64(self.slowness)
+        let step = BASE_STEP + STEP_PER_RUNNING_REQUEST * self.running.len() as u32;
+        (step * STEPS_PER_EVENT).mul_f64(self.slowdown)
     }
 }
