--- a/crates/losses/src/calls.rs
+++ b/crates/losses/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the store by cause, from what gateways logged of them.
+//! Store calls by cause, from the counts that gateways log.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -6,19 +6,19 @@
 
 use crate::line::LogLine;
 
-/// Calls of all gateways. Each logs its counts since its start now and then; what one called between
-/// its last such line and a kill isn't here.
+/// Store calls of all gateways. Each gateway periodically logs its counts since its start, so calls between
+/// the last such line and a kill are missing.
 #[derive(Debug, Default)]
-pub struct CallAccount {
-    /// Counts of processes that have ended.
+pub struct CallCounts {
+    /// Total counts of the processes that have ended.
     ended: BTreeMap<String, u64>,
-    /// The newest counts of each VM's process.
+    /// Latest counts of the current process of each VM.
     current: FastMap<String, Vec<(String, u64)>>,
 }
 
-impl CallAccount {
-    /// Takes a line in; lines of one VM come in their order.
-    pub fn take(&mut self, line: &LogLine) {
+impl CallCounts {
+    /// Adds a line. The lines of a VM have to be added in order.
+    pub fn add_line(&mut self, line: &LogLine) {
         match line.event.as_str() {
             "started" => {
                 for (cause, count) in self.current.remove(&line.vm).unwrap_or_default() {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Calls by cause, of all processes.
+    /// Calls of all processes by cause.
     pub fn by_cause(&self) -> BTreeMap<String, u64> {
         let mut all = self.ended.clone();
         for (cause, count) in self.current.values().flatten() {
@@ -42,13 +42,13 @@
     }
 }
 
-/// Every field of the line that is a count; the sum of all isn't one of them.
+/// All fields of the line that are counts, except for `all`, which is their sum.
 fn counts(line: &LogLine) -> Vec<(String, u64)> {
     let counts = line.fields().filter(|(name, _)| *name != "all");
     counts.filter_map(|(name, text)| Some((name.to_owned(), text.parse().ok()?))).collect()
 }
 
-impl fmt::Display for CallAccount {
+impl fmt::Display for CallCounts {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let by_cause = self.by_cause();
         let all: u64 = by_cause.values().sum();
--- a/crates/losses/src/cause.rs
+++ b/crates/losses/src/cause.rs
@@ -1,66 +1,67 @@
-//! Why one online request earned less than it could.
+//! Why an online request lowered the score.
 
 use crate::{line::LogLine, occupancy::OccupancyMap};
 
-/// Why a request earned less than it could.
+/// Why an online request lowered the score.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum LossCause {
-    /// None: it was in time.
+    /// No loss: the first event was in time.
     InTime,
-    /// Late: an attempt at a target that failed or went silent came before.
+    /// Late: an earlier attempt failed, or its target went silent.
     FailedTarget,
-    /// Late: all places were taken.
-    AllPlacesTaken,
-    /// Late behind an item of a job, while places were free elsewhere.
+    /// Late: all slots of all targets were taken.
+    AllSlotsTaken,
+    /// Late: the target was full with at least one job item, while another target had a free slot.
     BehindItem,
-    /// Late, though a place was free somewhere.
-    BlindChoice,
-    /// Late at a target with a place free: the target was slow, or the gateway.
+    /// Late: the target was full with online requests, while another target had a free slot.
+    FreeSlotElsewhere,
+    /// Late although the chosen target had a free slot: the target or the gateway was slow.
     SlowTarget,
-    /// Broken off by its target, or cut short.
-    BrokenByTarget,
-    /// Told to come back.
-    TurnedAway,
-    /// Its client left before the answer.
+    /// The target interrupted the answer or cut it short.
+    InterruptedByTarget,
+    /// Rejected with a retry hint.
+    Rejected,
+    /// The client disconnected before the answer.
     Abandoned,
-    /// Not served for another reason.
+    /// Failed for another reason.
     Other,
 }
 
 impl LossCause {
-    /// Stable name for tables.
+    /// Stable name for the printed tables.
     pub fn code(self) -> &'static str {
         match self {
             Self::InTime => "in time",
             Self::FailedTarget => "late: failed or silent target first",
-            Self::AllPlacesTaken => "late: all places taken",
+            Self::AllSlotsTaken => "late: all places taken",
             Self::BehindItem => "late: behind an item",
-            Self::BlindChoice => "late: a place was free elsewhere",
+            Self::FreeSlotElsewhere => "late: a place was free elsewhere",
             Self::SlowTarget => "late: at a target with a place free",
-            Self::BrokenByTarget => "broken by a target",
-            Self::TurnedAway => "told to come back",
+            Self::InterruptedByTarget => "broken by a target",
+            Self::Rejected => "told to come back",
             Self::Abandoned => "client left",
             Self::Other => "not served",
         }
     }
 }
 
-/// The cause of an online request's end; `objective` in milliseconds to the first event.
-pub fn judge_request(line: &LogLine, objective: f64, occupancy: &OccupancyMap) -> LossCause {
+/// Classifies an online request by its last log line. `objective` is the latency objective to the first event,
+/// in milliseconds.
+pub fn classify_request(line: &LogLine, objective: f64, occupancy: &OccupancyMap) -> LossCause {
     if line.event == "request_abandoned" {
         return LossCause::Abandoned;
     }
     match line.text("outcome") {
-        "answered" => judge_answer(line, objective, occupancy),
-        "no_place" => LossCause::TurnedAway,
+        "answered" => classify_answer(line, objective, occupancy),
+        "no_place" => LossCause::Rejected,
         "cut_answer" | "closed_before_answer" | "stalled_answer" | "target_restarted" => {
-            LossCause::BrokenByTarget
+            LossCause::InterruptedByTarget
         }
         _ => LossCause::Other,
     }
 }
 
-fn judge_answer(line: &LogLine, objective: f64, occupancy: &OccupancyMap) -> LossCause {
+fn classify_answer(line: &LogLine, objective: f64, occupancy: &OccupancyMap) -> LossCause {
     let first = line.number("first_ms").unwrap_or(f64::MAX);
     if first <= objective {
         return LossCause::InTime;
@@ -71,10 +72,10 @@
     let began = line.at - line.number("ms").unwrap_or_default() / 1_000.0;
     let (online, items) = occupancy.at(line.text("target"), began);
     let was_full = online + items >= occupancy.slots();
-    match (was_full, occupancy.free_places(began) > 0) {
+    match (was_full, occupancy.free_slots(began) > 0) {
         (false, _) => LossCause::SlowTarget,
-        (true, false) => LossCause::AllPlacesTaken,
+        (true, false) => LossCause::AllSlotsTaken,
         (true, true) if items > 0 => LossCause::BehindItem,
-        (true, true) => LossCause::BlindChoice,
+        (true, true) => LossCause::FreeSlotElsewhere,
     }
 }
--- a/crates/losses/src/item.rs
+++ b/crates/losses/src/item.rs
@@ -1,94 +1,94 @@
-//! Why one item of a job came late.
+//! Why a job item was late.
 
-/// Why an item came late: what took most of its time without bringing it on.
+/// Why an item was late: what took most of its time without making progress.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum LateCause {
-    /// A run began again from an earlier event than a gateway had reached.
+    /// A run restarted from an earlier event than had been reached before.
     LostProgress,
-    /// No gateway owned its job.
+    /// No gateway owned the item's job.
     NoOwner,
-    /// It was done, and not stored yet.
+    /// The item was complete but its result wasn't stored yet.
     StoredLate,
-    /// Runs that failed and brought nothing.
+    /// Runs failed without making progress.
     FailedRuns,
-    /// It waited for a place at a target.
-    NoPlace,
-    /// None of these: its runs alone took longer than its time.
+    /// The item waited for a slot at a target.
+    NoFreeSlot,
+    /// None of the above: the necessary runs alone took longer than the time to the deadline.
     LongRun,
 }
 
 impl LateCause {
-    /// Every cause.
+    /// All causes.
     pub const ALL: [Self; 6] = [
         Self::LostProgress,
         Self::NoOwner,
         Self::StoredLate,
         Self::FailedRuns,
-        Self::NoPlace,
+        Self::NoFreeSlot,
         Self::LongRun,
     ];
 
-    /// Stable name for tables.
+    /// Stable name for the printed tables.
     pub fn code(self) -> &'static str {
         match self {
             Self::LostProgress => "lost progress",
             Self::NoOwner => "no owner",
             Self::StoredLate => "stored late",
             Self::FailedRuns => "failed runs",
-            Self::NoPlace => "no place",
+            Self::NoFreeSlot => "no place",
             Self::LongRun => "its runs alone",
         }
     }
 }
 
-/// A stretch of time, seconds since the day began.
+/// A span of time, in seconds since the day began.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Stretch {
-    /// Its begin.
+pub struct TimeSpan {
+    /// Start of the span.
     pub from: f64,
-    /// Its end.
+    /// End of the span.
     pub to: f64,
 }
 
-impl Stretch {
-    /// Its length.
+impl TimeSpan {
+    /// Length in seconds; 0 if the end is before the start.
     pub fn length(self) -> f64 {
         (self.to - self.from).max(0.0)
     }
 
-    /// The part of it that lies within `other`.
-    pub fn within(self, other: Stretch) -> Stretch {
-        Stretch { from: self.from.max(other.from), to: self.to.min(other.to) }
+    /// The part of this span that lies within `other`.
+    pub fn within(self, other: TimeSpan) -> TimeSpan {
+        TimeSpan { from: self.from.max(other.from), to: self.to.min(other.to) }
     }
 }
 
-/// One run of an item, from its lines.
+/// One run of an item, from its log lines.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ItemRun {
-    /// The gateway's VM.
+    /// VM of the gateway that ran the item.
     pub vm: String,
-    /// When it ran.
-    pub time: Stretch,
-    /// The event it went on after; below 0 for the beginning.
+    /// Start and end of the run.
+    pub time: TimeSpan,
+    /// Number of the event after which the run resumed; below 0 if it began from the start.
     pub after: f64,
-    /// The last event that it brought.
+    /// Number of the last event that the run delivered.
     pub reached: f64,
-    /// How it ended; empty where its gateway was lost before.
+    /// How the run ended; empty if its gateway was lost first.
     pub outcome: String,
 }
 
 impl ItemRun {
-    /// Whether it ended the item.
-    pub fn is_whole(&self) -> bool {
+    /// Whether the run completed the item.
+    pub fn is_complete(&self) -> bool {
         self.outcome == "200"
     }
 
-    /// Whether its gateway was lost before it ended.
-    fn is_cut_off(&self) -> bool {
+    /// Whether the gateway was lost before the run ended.
+    fn is_gateway_lost(&self) -> bool {
         self.outcome.is_empty()
     }
 
-    /// Seconds in which it brought events that an earlier run had brought up to `known`.
+    /// Seconds spent on events that earlier runs, which had reached event `known`, had already delivered.
     fn repeated(&self, known: f64) -> f64 {
         let events = self.reached - self.after;
         let again = known.min(self.reached) - self.after;
@@ -96,44 +96,46 @@
     }
 }
 
-/// What a late item's time went into, seconds.
+/// Seconds of a late item's time by cause.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct ItemTime([f64; LateCause::ALL.len()]);
+pub struct ItemTimeBreakdown([f64; LateCause::ALL.len()]);
 
-impl ItemTime {
-    /// The time of an item that was accepted and stored at the ends of `life`, by the `runs` that ended
-    /// before, in their order, and the times in which nobody owned its job.
-    pub fn of(life: Stretch, runs: &[ItemRun], unowned: &[Stretch]) -> Self {
+impl ItemTimeBreakdown {
+    /// Breaks down the time of an item. `lifetime` reaches from the job's acceptance to the storing of the
+    /// result, `runs` are the runs that ended in it, in order, and `unowned` the spans in which no gateway
+    /// owned the job.
+    pub fn of(lifetime: TimeSpan, runs: &[ItemRun], unowned: &[TimeSpan]) -> Self {
         let mut time = Self::default();
         let mut known = -1.0_f64;
         let mut useful = 0.0;
         for run in runs {
-            let took = run.time.within(life).length();
-            let lost = if run.is_cut_off() { took } else { run.repeated(known).min(took) };
-            let brought_nothing = run.reached <= run.after && !run.is_whole();
-            match (run.is_cut_off(), brought_nothing) {
+            let took = run.time.within(lifetime).length();
+            let lost = if run.is_gateway_lost() { took } else { run.repeated(known).min(took) };
+            let made_no_progress = run.reached <= run.after && !run.is_complete();
+            match (run.is_gateway_lost(), made_no_progress) {
                 (false, true) => time.add(LateCause::FailedRuns, took),
                 _ => time.add(LateCause::LostProgress, lost),
             }
-            useful += if brought_nothing { 0.0 } else { took - lost };
+            useful += if made_no_progress { 0.0 } else { took - lost };
             known = known.max(run.reached);
         }
-        let done = runs.last().map_or(life.to, |run| run.time.to);
-        time.add(LateCause::StoredLate, Stretch { from: done, to: life.to }.length());
-        let alone = unowned.iter().map(|none| none.within(life).length()).sum();
-        time.add(LateCause::NoOwner, alone);
+        let done = runs.last().map_or(lifetime.to, |run| run.time.to);
+        time.add(LateCause::StoredLate, TimeSpan { from: done, to: lifetime.to }.length());
+        let without_owner = unowned.iter().map(|span| span.within(lifetime).length()).sum();
+        time.add(LateCause::NoOwner, without_owner);
         time.add(LateCause::LongRun, useful);
         let spent: f64 = time.0.iter().sum();
-        time.add(LateCause::NoPlace, (life.length() - spent).max(0.0));
+        time.add(LateCause::NoFreeSlot, (lifetime.length() - spent).max(0.0));
         time
     }
 
-    /// Seconds of a cause.
+    /// Seconds that a cause took.
     pub fn seconds(&self, cause: LateCause) -> f64 {
         self.0[cause as usize]
     }
 
-    /// The cause of a delay: what took most, unless the runs that were needed took all the time there was.
+    /// The main cause of a delay. `given` is the time from acceptance to the deadline, seconds: if the necessary
+    /// runs alone took that long, they are the cause, else the cause that took the most time.
     pub fn cause(&self, given: f64) -> LateCause {
         if self.seconds(LateCause::LongRun) >= given {
             return LateCause::LongRun;
--- a/crates/losses/src/line.rs
+++ b/crates/losses/src/line.rs
@@ -1,22 +1,22 @@
-//! One line of a process's log.
+//! Parser for the log lines of a process.
 
 use notch_types::prelude::*;
 
-/// One line of a process's log, with the time at which it was written.
+/// One log line of a process, with the time at which it was written.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LogLine {
     /// Seconds since the day began.
     pub at: f64,
-    /// The process's VM.
+    /// VM of the process.
     pub vm: String,
-    /// What happened.
+    /// Name of the logged event.
     pub event: String,
     fields: FastMap<String, String>,
 }
 
 impl LogLine {
-    /// Reads a line that begins with its time in seconds and its VM, as they stand where the logs of
-    /// several processes are joined; `None` when it is none.
+    /// Parses a line that begins with its time in seconds and its VM, the format in which the logs of several
+    /// processes are joined. `None` if the text isn't such a line.
     pub fn parse(text: &str) -> Option<Self> {
         let mut words = text.split_whitespace();
         let at = words.next()?.parse().ok()?;
@@ -26,23 +26,23 @@
         Some(Self { at, vm, event, fields })
     }
 
-    /// A field's text; empty when it isn't there.
+    /// Text of a field; empty if the line has no such field.
     pub fn text(&self, name: &str) -> &str {
         self.fields.get(name).map_or("", String::as_str)
     }
 
-    /// Every field with its text.
+    /// All fields with their texts.
     pub fn fields(&self) -> impl Iterator<Item = (&str, &str)> {
         self.fields.iter().map(|(name, text)| (name.as_str(), text.as_str()))
     }
 
-    /// A field's number.
+    /// Numeric value of a field; `None` if it is missing or not a number.
     pub fn number(&self, name: &str) -> Option<f64> {
         self.text(name).parse().ok()
     }
 }
 
-/// Pairs of a name and a value; a value with spaces stands in quotes.
+/// Splits a line into its `name=value` pairs. Values that contain spaces are quoted.
 fn fields(text: &str) -> impl Iterator<Item = (String, String)> {
     let mut rest = text;
     std::iter::from_fn(move || {
--- a/crates/losses/src/main.rs
+++ b/crates/losses/src/main.rs
@@ -1,4 +1,4 @@
-//! Tells where a day's worth went.
+//! Command that explains the losses in a day's score.
 
 use std::{fs, path::PathBuf, process::ExitCode};
 
@@ -22,28 +22,28 @@
     slots: usize,
 }
 
-#[expect(clippy::print_stdout, reason = "its output is for people")]
+#[expect(clippy::print_stdout, reason = "the output is for people")]
 fn main() -> ExitCode {
     let options: LossOptions = argh::from_env();
-    match tell(&options) {
+    match render(&options) {
         Ok(text) => {
             print!("{text}");
             ExitCode::SUCCESS
         }
-        Err(fault) => {
-            print!("{fault}");
+        Err(message) => {
+            print!("{message}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn tell(options: &LossOptions) -> Result<String, String> {
+fn render(options: &LossOptions) -> Result<String, String> {
     let mut text = String::new();
     if let Some(path) = &options.report {
         let bytes = fs::read(path).map_err(|error| format!("{}: {error}\n", path.display()))?;
         let report: DayReport = serde_json::from_slice(&bytes)
             .map_err(|error| format!("{}: {error}\n", path.display()))?;
-        text += &format!("worth {:.3}; taken off:\n", report.worth);
+        text += &format!("worth {:.3}; taken off:\n", report.score);
         for (name, lost) in report.losses() {
             text += &format!("  {lost:7.3} {name}\n");
         }
--- a/crates/losses/src/occupancy.rs
+++ b/crates/losses/src/occupancy.rs
@@ -1,82 +1,83 @@
-//! How many requests ran at each target at any moment, from the ends that gateways logged.
+//! Number of requests that ran at each target at any time, reconstructed from the logged ends of runs.
 
 use notch_types::prelude::*;
 
-/// One run at a target.
+/// One run of a request or item at a target.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TargetRun {
-    /// The target.
+    /// Id of the target.
     pub target: String,
-    /// Seconds since the day began.
+    /// Start, in seconds since the day began.
     pub from: f64,
-    /// Seconds since the day began.
+    /// End, in seconds since the day began.
     pub to: f64,
     /// Whether it was an item of a job.
     pub is_item: bool,
 }
 
-/// When a target took new requests. Its entry may go and come back: it lapses in an outage of the store.
+/// Times in which a target accepted new requests. Its entry may be removed and added again: entries expire
+/// during an outage of the store.
 #[derive(Debug, Default)]
-struct TargetLife {
-    /// Of the newest change. Gateways hear of changes one after the other, so an older word may come
-    /// after a newer one.
+struct TargetAvailability {
+    /// Revision of the newest change. Gateways learn of changes at different times, so an older change may be
+    /// logged after a newer one.
     revision: u64,
-    /// From when on, and until when if it's over, in their order.
+    /// Start of each period, and its end unless it is still open, in order.
     spans: Vec<(f64, Option<f64>)>,
 }
 
-impl TargetLife {
+impl TargetAvailability {
     fn is_open(&self) -> bool {
         self.spans.last().is_some_and(|(_, to)| to.is_none())
     }
 
-    fn holds(&self, at: f64) -> bool {
+    fn is_available(&self, at: f64) -> bool {
         self.spans.iter().any(|(from, to)| *from <= at && to.is_none_or(|to| at < to))
     }
 }
 
-/// Every run at every target.
+/// All runs at all targets.
 #[derive(Debug, Default)]
 pub struct OccupancyMap {
     runs: FastMap<String, Vec<TargetRun>>,
-    lives: FastMap<String, TargetLife>,
-    /// Places of each target.
+    availability: FastMap<String, TargetAvailability>,
+    /// Slots per target.
     slots: usize,
 }
 
 impl OccupancyMap {
-    /// A map of targets with `slots` places each.
+    /// An empty map for targets with `slots` slots each.
     pub fn new(slots: usize) -> Self {
         Self { slots, ..Self::default() }
     }
 
-    /// A target took new requests from `at` on, by its entry's `revision`.
+    /// Records that a target accepts new requests from `at` on, according to `revision` of its entry.
     pub fn note_ready(&mut self, target: &str, at: f64, revision: u64) {
-        let life = self.lives.entry(target.to_owned()).or_default();
-        if !life.is_open() && (life.spans.is_empty() || revision > life.revision) {
-            life.spans.push((at, None));
+        let record = self.availability.entry(target.to_owned()).or_default();
+        if !record.is_open() && (record.spans.is_empty() || revision > record.revision) {
+            record.spans.push((at, None));
         }
-        life.revision = life.revision.max(revision);
+        record.revision = record.revision.max(revision);
     }
 
-    /// A target took no new requests from `at` on, by its entry's `revision`.
+    /// Records that a target accepts no new requests from `at` on, according to `revision` of its entry.
     pub fn note_gone(&mut self, target: &str, at: f64, revision: u64) {
-        let Some(life) = self.lives.get_mut(target) else { return };
-        if revision < life.revision {
+        let Some(record) = self.availability.get_mut(target) else { return };
+        if revision < record.revision {
             return;
         }
-        life.revision = revision;
-        if let Some((_, to)) = life.spans.last_mut() {
+        record.revision = revision;
+        if let Some((_, to)) = record.spans.last_mut() {
             to.get_or_insert(at);
         }
     }
 
-    /// Counts a run.
+    /// Adds a run.
     pub fn add(&mut self, run: TargetRun) {
         self.runs.entry(run.target.clone()).or_default().push(run);
     }
 
-    /// Online requests and items at a target at one moment.
+    /// Number of online requests and of items that ran at a target at one time.
     pub fn at(&self, target: &str, at: f64) -> (usize, usize) {
         let runs = self.runs.get(target).map(Vec::as_slice).unwrap_or_default();
         let running = runs.iter().filter(|run| run.from < at && at < run.to);
@@ -88,9 +89,9 @@
         )
     }
 
-    /// Places that were free at one moment at all targets together, as one who knows all would see it.
-    pub fn free_places(&self, at: f64) -> usize {
-        let ready = self.lives.iter().filter(|(_, life)| life.holds(at));
+    /// Total number of free slots at all available targets at one time.
+    pub fn free_slots(&self, at: f64) -> usize {
+        let ready = self.availability.iter().filter(|(_, record)| record.is_available(at));
         ready
             .map(|(target, _)| {
                 let (online, items) = self.at(target, at);
@@ -99,7 +100,7 @@
             .sum()
     }
 
-    /// Places of each target.
+    /// Slots per target.
     pub fn slots(&self) -> usize {
         self.slots
     }
--- a/crates/losses/src/report.rs
+++ b/crates/losses/src/report.rs
@@ -1,27 +1,27 @@
-//! The day's report: what the users' measure took off, and for what.
+//! The day's report: the score, and how much each part and price lowered it.
 
 use serde::Deserialize;
 
-/// The parts of a day's report that tell where worth went.
+/// The fields of a day's report that explain the score.
 #[derive(Debug, Default, Deserialize)]
 pub struct DayReport {
-    /// The day's worth.
+    /// Score of the day.
     #[serde(rename = "G", default)]
-    pub worth: f64,
-    /// Name, weight and value of each part that the worth consists of.
+    pub score: f64,
+    /// Name, weight and value of each part of the score.
     #[serde(default)]
     pub parts: Vec<(String, f64, f64)>,
-    /// Name, amount and cost of each price.
+    /// Name, amount and cost of each price that is deducted from the score.
     #[serde(default)]
     pub prices: Vec<(String, f64, f64)>,
-    /// How tries ended, as clients saw it.
+    /// Number of client tries by how they ended.
     #[serde(default)]
     pub ends: std::collections::BTreeMap<String, u64>,
 }
 
 impl DayReport {
-    /// What each part and each price took off, the largest first; what took less than half a
-    /// thousandth is left out.
+    /// Loss of score by part and by price, the largest first. Losses of less than half a thousandth are left
+    /// out.
     pub fn losses(&self) -> Vec<(String, f64)> {
         let parts = self.parts.iter().map(|(name, weight, value)| {
             (format!("{name} ({value:.3}, weight {weight})"), weight * (1.0 - value))
--- a/crates/losses/src/summary.rs
+++ b/crates/losses/src/summary.rs
@@ -1,51 +1,51 @@
-//! All online requests of a day by the cause of their loss.
+//! Summary of a day: online requests by cause of loss, items, and calls to the store.
 
 use std::{collections::BTreeMap, fmt};
 
 use crate::{
-    calls::CallAccount,
-    cause::{LossCause, judge_request},
-    jobs::ItemAccount,
+    calls::CallCounts,
+    cause::{LossCause, classify_request},
+    jobs::ItemStatistics,
     line::LogLine,
     occupancy::{OccupancyMap, TargetRun},
 };
 
-/// How a day's requests and items fared.
+/// Outcomes of a day's requests, items and store calls.
 #[derive(Debug, Default)]
 pub struct LossSummary {
     causes: BTreeMap<LossCause, usize>,
-    /// Runs of items by how they ended.
+    /// Item runs by how they ended.
     item_runs: BTreeMap<String, usize>,
-    /// Items of jobs by why they came late.
-    items: ItemAccount,
-    /// Calls to the store by cause.
-    calls: CallAccount,
-    /// Failed calls to the store, by method and kind of object.
+    /// Job items, with the causes of lateness.
+    items: ItemStatistics,
+    /// Store calls by cause.
+    calls: CallCounts,
+    /// Failed store calls by method and kind of object.
     store_failures: BTreeMap<String, usize>,
 }
 
 impl LossSummary {
-    /// Judges the lines of all gateways. `objective` is the time to the first event, milliseconds;
-    /// `slots` the places of each target.
+    /// Analyses the lines of all gateways. `objective` is the latency objective to the first event in
+    /// milliseconds, `slots` the number of slots per target.
     pub fn of_lines(lines: &[LogLine], objective: f64, slots: usize) -> Self {
         let occupancy = occupancy(lines, slots);
-        let mut summary = Self { items: ItemAccount::of_lines(lines), ..Self::default() };
+        let mut summary = Self { items: ItemStatistics::of_lines(lines), ..Self::default() };
         for line in lines {
-            summary.take(line, objective, &occupancy);
+            summary.add_line(line, objective, &occupancy);
         }
         summary
     }
 
-    /// How many requests had this cause.
+    /// Number of requests with this cause.
     pub fn count(&self, cause: LossCause) -> usize {
         self.causes.get(&cause).copied().unwrap_or_default()
     }
 
-    fn take(&mut self, line: &LogLine, objective: f64, occupancy: &OccupancyMap) {
-        self.calls.take(line);
+    fn add_line(&mut self, line: &LogLine, objective: f64, occupancy: &OccupancyMap) {
+        self.calls.add_line(line);
         match line.event.as_str() {
             "request_ended" | "request_abandoned" if line.text("status") != "404" => {
-                *self.causes.entry(judge_request(line, objective, occupancy)).or_default() += 1;
+                *self.causes.entry(classify_request(line, objective, occupancy)).or_default() += 1;
             }
             "item_run_ended" => {
                 *self.item_runs.entry(line.text("outcome").to_owned()).or_default() += 1;
@@ -60,7 +60,7 @@
     }
 }
 
-/// The kind of objects that a call's path names.
+/// Kind of object named by the path of a store call.
 fn object_kind(path: &str) -> &str {
     let name = path.split('/').nth(3).unwrap_or_default();
     name.split('?').next().unwrap_or_default()
--- a/crates/losses/tests/items.rs
+++ b/crates/losses/tests/items.rs
@@ -1,4 +1,4 @@
-//! Why items of jobs came late, and what calls to the store were for.
+//! Causes of late job items, and store calls by cause.
 
 use notch_losses::prelude::*;
 use rstest::rstest;
@@ -7,7 +7,7 @@
     text.lines().filter_map(LogLine::parse).collect()
 }
 
-/// A job of one item that is due at 10 s, and its first run.
+/// A job of one item with its deadline at 10 s, and the start of the item's first run.
 const BEGIN: &str = "\
  0.0 g-1 event=started owner=g-1#1
  1.0 g-1 event=job_owned job=j items=1 cause=accepted
@@ -19,7 +19,7 @@
  5.5 g-1 event=results_stored job=j position=0 count=1 ms=8
 ";
 
-/// The gateway is killed at 6 s, when the item was at its event 90; another one finds nothing of it.
+/// The gateway is killed after 6 s, when the run had reached event 90; the next owner has to start over.
 const LOST_RUN: &str = "\
  6.0 g-1 event=target_known target=t9 state=ready
  7.0 g-2 event=job_owned job=j listed=0 cause=owner_gone before=g-1#1
@@ -28,7 +28,7 @@
  11.1 g-2 event=results_stored job=j position=0 count=1 ms=8
 ";
 
-/// The same gateway had broken the run off before, at event 60.
+/// The gateway had preempted the run at event 60 before it was killed; the next owner has to start over.
 const LOST_EVENTS: &str = "\
  5.0 g-1 event=item_run_ended job=j item=a outcome=preempted last_event=60 ms=4000
  5.1 g-1 event=target_known target=t9 state=ready
@@ -38,7 +38,7 @@
  12.1 g-2 event=results_stored job=j position=0 count=1 ms=8
 ";
 
-/// The progress is known to the next owner, which comes late.
+/// The next owner knows the progress, but takes the job over late.
 const NO_OWNER: &str = "\
  2.0 g-1 event=item_run_ended job=j item=a outcome=preempted last_event=60 ms=1000
  2.1 g-1 event=jobs_left count=1
@@ -61,7 +61,7 @@
  10.2 g-1 event=results_stored job=j position=0 count=1 ms=8
 ";
 
-const NO_PLACE: &str = "\
+const NO_FREE_SLOT: &str = "\
  2.0 g-1 event=item_run_ended job=j item=a outcome=preempted last_event=60 ms=1000
  9.5 g-1 event=item_run_started job=j item=a target=t after=60 due_ms=500
  10.5 g-1 event=item_run_ended job=j item=a outcome=200 last_event=80 ms=1000
@@ -79,55 +79,59 @@
 #[case::no_owner(NO_OWNER, LateCause::NoOwner)]
 #[case::stored_late(STORED_LATE, LateCause::StoredLate)]
 #[case::failed_runs(FAILED_RUNS, LateCause::FailedRuns)]
-#[case::no_place(NO_PLACE, LateCause::NoPlace)]
+#[case::no_free_slot(NO_FREE_SLOT, LateCause::NoFreeSlot)]
 #[case::long_run(LONG_RUN, LateCause::LongRun)]
 fn a_late_item_has_one_cause(#[case] rest: &str, #[case] cause: LateCause) {
-    let account = ItemAccount::of_lines(&lines(&format!("{BEGIN}{rest}")));
-    assert_eq!((account.in_time(), account.not_stored()), (0, 0), "{account}");
+    let statistics = ItemStatistics::of_lines(&lines(&format!("{BEGIN}{rest}")));
+    assert_eq!((statistics.in_time(), statistics.not_stored()), (0, 0), "{statistics}");
     for other in LateCause::ALL {
-        assert_eq!(account.late(other), usize::from(other == cause), "{account}");
+        assert_eq!(statistics.late(other), usize::from(other == cause), "{statistics}");
     }
 }
 
 #[test]
-fn an_item_in_time_has_none() {
-    let account = ItemAccount::of_lines(&lines(&format!("{BEGIN}{IN_TIME}")));
-    assert_eq!((account.in_time(), account.not_stored()), (1, 0), "{account}");
-    assert!(LateCause::ALL.iter().all(|cause| account.late(*cause) == 0), "{account}");
+fn an_item_in_time_has_no_cause() {
+    let statistics = ItemStatistics::of_lines(&lines(&format!("{BEGIN}{IN_TIME}")));
+    assert_eq!((statistics.in_time(), statistics.not_stored()), (1, 0), "{statistics}");
+    assert!(LateCause::ALL.iter().all(|cause| statistics.late(*cause) == 0), "{statistics}");
 }
 
-/// One that waited 7.5 s for a place and 0.1 s for its result to be stored, and was 0.6 s late.
+/// The item waited 7.5 s for a slot and 0.1 s for its result to be stored, and was 0.6 s late.
 #[test]
-fn a_late_item_counts_under_each_part_that_it_had_no_time_for() {
-    let account = ItemAccount::of_lines(&lines(&format!("{BEGIN}{NO_PLACE}")));
-    let decided = LateCause::ALL.into_iter().filter(|cause| account.decided(*cause) > 0);
-    assert_eq!(decided.collect::<Vec<_>>(), [LateCause::NoPlace, LateCause::LongRun]);
-    let table = account.to_string();
+fn a_late_item_counts_under_each_decisive_cause() {
+    let statistics = ItemStatistics::of_lines(&lines(&format!("{BEGIN}{NO_FREE_SLOT}")));
+    let decisive = LateCause::ALL.into_iter().filter(|cause| statistics.decisive(*cause) > 0);
+    assert_eq!(decisive.collect::<Vec<_>>(), [LateCause::NoFreeSlot, LateCause::LongRun]);
+    let table = statistics.to_string();
     assert!(table.contains("     1 late, 1 in time without it, 7.5 s: no place\n"), "{table}");
 }
 
-/// A result that its gateway took with it wasn't stored by what another job's or gateway's write brought.
+/// A result that was lost with its gateway must not count as stored by a write of another job or gateway.
 #[test]
-fn a_result_counts_only_as_stored_by_its_own_gateway() {
+fn a_result_counts_as_stored_only_by_its_own_gateway() {
     let rest = " 5.0 g-1 event=item_run_ended job=j item=a outcome=200 last_event=80 ms=4000
  6.0 g-2 event=results_stored job=j position=0 count=1 ms=8
  6.0 g-1 event=results_stored job=other position=0 count=1 ms=8\n";
-    let account = ItemAccount::of_lines(&lines(&format!("{BEGIN}{rest}")));
-    assert_eq!((account.in_time(), account.not_stored()), (0, 1), "{account}");
+    let statistics = ItemStatistics::of_lines(&lines(&format!("{BEGIN}{rest}")));
+    assert_eq!((statistics.in_time(), statistics.not_stored()), (0, 1), "{statistics}");
 }
 
 #[test]
 fn an_item_of_a_job_that_its_client_ended_is_not_late() {
     let rest = " 5.0 g-1 event=item_run_ended job=j item=a outcome=preempted last_event=8 ms=4000
  5.0 g-2 event=job_ended job=j source=client owned=false\n";
-    let account = ItemAccount::of_lines(&lines(&format!("{BEGIN}{rest}")));
-    assert_eq!((account.in_time(), account.ended(), account.not_stored()), (0, 1, 0), "{account}");
+    let statistics = ItemStatistics::of_lines(&lines(&format!("{BEGIN}{rest}")));
+    assert_eq!(
+        (statistics.in_time(), statistics.ended(), statistics.not_stored()),
+        (0, 1, 0),
+        "{statistics}"
+    );
 }
 
-/// Counts rise from a process's start on: of two lines the later one holds, and those of a process
-/// that was killed stay.
+/// Counts are cumulative since a process's start: the latest line of a process counts, and the counts of a
+/// killed process are kept.
 #[test]
-fn calls_add_up_over_gateways_and_their_starts() {
+fn calls_add_up_over_gateways_and_restarts() {
     let text = "\
  0.0 g-1 event=started owner=g-1#1
  10.0 g-1 event=store_calls all=7 watch=4 list=3
@@ -136,12 +140,12 @@
  35.0 g-1 event=store_calls all=3 watch=1 list=2
  36.0 g-2 event=store_calls time=x level=info vm=g-2 domain=d all=5 results_stored=5
 ";
-    let mut account = CallAccount::default();
-    lines(text).iter().for_each(|line| account.take(line));
+    let mut calls = CallCounts::default();
+    lines(text).iter().for_each(|line| calls.add_line(line));
     let expected = [("list", 6), ("results_stored", 5), ("watch", 9)];
-    let found = account.by_cause();
+    let found = calls.by_cause();
     let found: Vec<(&str, u64)> = found.iter().map(|(cause, count)| (&**cause, *count)).collect();
     assert_eq!(found, expected);
-    let table = account.to_string();
+    let table = calls.to_string();
     assert!(table.contains("logged: 20\n") && table.contains("     9   0.450 watch"), "{table}");
 }
