--- a/crates/soak/src/checker.rs
+++ b/crates/soak/src/checker.rs
@@ -1,4 +1,4 @@
-//! Holds what was seen against the promises.
+//! Checks the observations of a soak test against the promises of the system.
 
 use notch_platform_standins::{
     client::item_id,
@@ -12,46 +12,46 @@
     observation::{Observation, SeenResult},
 };
 
-/// The attempt of every request that asks for a route.
+/// Attempt name of all requests that check for a route.
 pub(crate) const PROBE: &str = "route";
 
-/// A promise.
+/// A promise of the system to its clients and operators: a guarantee that must hold under all faults.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum PromiseKind {
-    /// An answer is the target's own for this request, whole or visibly cut.
+    /// An answer is the target's answer to this request, either complete or visibly truncated.
     OwnAnswer,
-    /// What is refused has not run.
+    /// A request that was refused has not run.
     TrueRefusal,
-    /// What may not be repeated runs once at most.
+    /// A request that may not be repeated runs at most once.
     RunsOnce,
     /// Each item of an accepted job has exactly one result, the right one.
     OneResult,
-    /// A list of results only grows.
+    /// The list of a job's results only grows.
     GrowingList,
-    /// A configuration that was in force at a process stays in force or is followed by a newer one.
+    /// A process that has applied a configuration never goes back to an older one.
     NoReversion,
-    /// A request runs for the account of its key, which no target is shown.
+    /// A request runs for the client account of its key, and the key is never sent to a target.
     OwnAccount,
-    /// A key that was taken away is honoured for a bounded time, by every gateway.
+    /// Every gateway stops accepting a revoked key within a bounded time.
     TakenAway,
-    /// After the faults every gateway is ready and knows the newest configuration.
+    /// After the faults, every gateway becomes ready and knows the newest configuration.
     Recovery,
 }
 
 /// A promise that was broken.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BrokenPromise {
-    /// Which.
+    /// The promise.
     pub kind: PromiseKind,
-    /// What was seen.
+    /// The observation that shows it, for people.
     pub detail: String,
 }
 
-/// Every promise that these observations show to be broken.
+/// Finds all promises that the observations show to be broken.
 pub fn check(observations: &[Observation]) -> Vec<BrokenPromise> {
     let mut checker = PromiseChecker::default();
     for observation in observations {
-        checker.see(observation);
+        checker.observe(observation);
     }
     checker.finish()
 }
@@ -59,48 +59,48 @@
 #[derive(Debug, Default)]
 struct PromiseChecker {
     broken: Vec<BrokenPromise>,
-    /// How often each attempt or item began to run.
+    /// Number of runs of each attempt or item.
     runs: FastMap<String, usize>,
     refused: Vec<String>,
-    /// Attempts that must not run, as their key was taken away long before.
-    without_key: FastSet<String>,
-    /// Attempts that may not be repeated.
-    once: FastSet<String>,
-    /// Accepted jobs with their number of items.
+    /// Attempts that must not run, because their key was revoked longer ago than the allowed bound.
+    revoked: FastSet<String>,
+    /// Attempts that may run at most once.
+    at_most_once: FastSet<String>,
+    /// Number of items of each accepted job.
     jobs: FastMap<String, usize>,
-    /// The longest list of each job.
+    /// The longest list of results read of each job.
     lists: FastMap<String, Vec<SeenResult>>,
-    /// Newest configuration known to each process.
+    /// Newest configuration version known to each process.
     versions: FastMap<String, u64>,
 }
 
 impl PromiseChecker {
-    fn see(&mut self, observation: &Observation) {
+    fn observe(&mut self, observation: &Observation) {
         match observation {
-            Observation::Sent { attempt, taken_away_for } => {
-                if taken_away_for.is_some_and(|age| age > REVOCATION_BOUND) {
-                    self.without_key.insert(attempt.clone());
+            Observation::Sent { attempt, revoked_for } => {
+                if revoked_for.is_some_and(|age| age > REVOCATION_BOUND) {
+                    self.revoked.insert(attempt.clone());
                 }
             }
             Observation::Answered { attempt, may_repeat, status, named, body, is_whole } => {
                 if !may_repeat {
-                    self.once.insert(attempt.clone());
+                    self.at_most_once.insert(attempt.clone());
                 }
                 if matches!(status, 408 | 421 | 429 | 503) {
                     self.refused.push(attempt.clone());
                 }
-                self.see_answer(attempt, *status, named.as_deref(), body, *is_whole);
+                self.check_answer(attempt, *status, named.as_deref(), body, *is_whole);
             }
             Observation::Ran { attempt, account, has_key } => {
                 *self.runs.entry(attempt.clone()).or_default() += 1;
-                self.see_account(attempt, account.as_deref(), *has_key);
+                self.check_account(attempt, account.as_deref(), *has_key);
             }
             Observation::JobAccepted { job, items } => {
                 self.jobs.insert(job.clone(), *items);
             }
-            Observation::JobRead { job, results } => self.see_list(job, results),
+            Observation::JobRead { job, results } => self.check_list(job, results),
             Observation::RouteAsked { process, version, is_known } => {
-                self.see_route(process, *version, *is_known);
+                self.check_route(process, *version, *is_known);
             }
             Observation::Recovered { not_ready, processes, version } => {
                 for gateway in not_ready {
@@ -120,7 +120,7 @@
         }
     }
 
-    fn see_answer(
+    fn check_answer(
         &mut self,
         attempt: &str,
         status: u16,
@@ -139,19 +139,19 @@
         }
     }
 
-    fn see_account(&mut self, attempt: &str, account: Option<&str>, has_key: bool) {
-        // Those that ask for a route need no key.
+    fn check_account(&mut self, attempt: &str, account: Option<&str>, has_key: bool) {
+        // Requests that check for a route carry no key.
         let is_own = account == Some(ACCOUNT) || attempt == PROBE;
         if !is_own || has_key {
             let detail = format!("{attempt} ran for {account:?}, with its key: {has_key}");
             self.add(PromiseKind::OwnAccount, detail);
         }
-        if self.without_key.contains(attempt) {
+        if self.revoked.contains(attempt) {
             self.add(PromiseKind::TakenAway, format!("{attempt} ran by a key that was taken away"));
         }
     }
 
-    fn see_list(&mut self, job: &str, results: &[SeenResult]) {
+    fn check_list(&mut self, job: &str, results: &[SeenResult]) {
         let longest = self.lists.entry(job.to_owned()).or_default();
         let common = longest.len().min(results.len());
         let is_same = longest[..common] == results[..common];
@@ -163,7 +163,7 @@
         }
     }
 
-    fn see_route(&mut self, process: &str, version: u64, is_known: bool) {
+    fn check_route(&mut self, process: &str, version: u64, is_known: bool) {
         let newest = self.versions.entry(process.to_owned()).or_default();
         if is_known {
             *newest = version.max(*newest);
@@ -179,13 +179,13 @@
                 self.add(PromiseKind::TrueRefusal, format!("{attempt} was refused and has run"));
             }
         }
-        let twice: Vec<String> = self
-            .once
+        let repeated: Vec<String> = self
+            .at_most_once
             .iter()
             .filter(|a| self.runs.get(*a).is_some_and(|n| *n > 1))
             .cloned()
             .collect();
-        for attempt in twice {
+        for attempt in repeated {
             self.add(PromiseKind::RunsOnce, format!("{attempt} ran more than once"));
         }
         for (job, items) in std::mem::take(&mut self.jobs) {
--- a/crates/soak/src/clients.rs
+++ b/crates/soak/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that write down what they see.
+//! Clients that send requests and jobs and record what they observe.
 
 use std::{
     sync::{
@@ -19,39 +19,39 @@
 
 use crate::{
     checker::PROBE,
+    cluster::{SoakCluster, SoakKey},
     observation::Observation,
-    world::{SoakKey, SoakWorld},
 };
 
-/// Longest wait of a client for anything.
-const PATIENCE: Duration = Duration::from_secs(6);
-/// Longest pause of a client between two requests.
-const PAUSE_MS: u64 = 40;
-/// Pause between two reads of a job, and two sendings of one.
-const JOB_PAUSE: Duration = Duration::from_millis(200);
-/// Keys of so many versions are drawn beside the one that stays.
+/// Time-out of each call by a client.
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(6);
+/// Longest pause between two requests of a client.
+const MAX_PAUSE_MS: u64 = 40;
+/// Pause between two reads of a job's results, and between two attempts to submit a job.
+const JOB_RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// Number of recent configuration versions whose keys are drawn besides the permanent key.
 const OLD_KEYS: u64 = 5;
-/// Draws among which each of these has one.
+/// Number of equally likely draws. Each recent key has one of them, and the permanent key has the rest.
 const KEY_CHOICES: u64 = 12;
-/// Items of a job, at most.
-const ITEMS: usize = 6;
+/// Most items of a job.
+const MAX_ITEMS: usize = 6;
 
-/// What clients share.
+/// State that all clients share.
 #[derive(Debug, Clone)]
-pub struct ClientRun {
-    /// The world that they are in.
-    pub world: SoakWorld,
-    /// Seed of the run.
+pub struct ClientContext {
+    /// The cluster under test.
+    pub cluster: SoakCluster,
+    /// Seed of the soak test.
     pub seed: u64,
-    /// No new request or job begins any more.
+    /// Whether clients stop sending requests and jobs.
     pub is_over: Arc<AtomicBool>,
-    /// Requests sent.
+    /// Number of online requests sent.
     pub requests: Arc<AtomicUsize>,
-    /// Jobs accepted.
+    /// Number of jobs accepted.
     pub jobs: Arc<AtomicUsize>,
 }
 
-impl ClientRun {
+impl ClientContext {
     fn is_over(&self) -> bool {
         self.is_over.load(Ordering::Acquire)
     }
@@ -61,10 +61,10 @@
     }
 
     fn gateway(&self, random: &mut SmallRng) -> usize {
-        random.random_range(0..self.world.gateway_count())
+        random.random_range(0..self.cluster.gateway_count())
     }
 
-    /// Sends online requests, most of them on connections that stay open.
+    /// Sends online requests, most of them on persistent connections.
     pub async fn send_requests(self, number: u64) {
         let mut random = self.random(number);
         let mut connection: Option<WireReader> = None;
@@ -74,39 +74,40 @@
             let attempt = format!("c{number}-{sent}");
             let may_repeat = random.random_bool(0.6);
             if connection.is_none() || random.random_bool(0.1) {
-                let client = self.world.client(self.gateway(&mut random));
-                connection = timeout(PATIENCE, client.connect()).await.ok().flatten();
+                let client = self.cluster.client(self.gateway(&mut random));
+                connection = timeout(CLIENT_TIMEOUT, client.connect()).await.ok().flatten();
             }
             if let Some(mut open) = connection.take() {
                 self.requests.fetch_add(1, Ordering::Relaxed);
                 let path = if may_repeat { "/resume/x" } else { "/once/x" };
                 let key = self.draw_key(&attempt, &mut random);
-                let sending = timeout(PATIENCE, post_on(&mut open, path, &attempt, &key));
+                let sending = timeout(CLIENT_TIMEOUT, post_on(&mut open, path, &attempt, &key));
                 if let Ok(Some(answer)) = sending.await {
-                    self.note_answer(&attempt, may_repeat, &answer);
-                    let stays = answer.is_whole && answer.head.keep_alive;
-                    connection = stays.then_some(open);
+                    self.record_answer(&attempt, may_repeat, &answer);
+                    let is_reusable = answer.is_whole && answer.head.keep_alive;
+                    connection = is_reusable.then_some(open);
                 }
             }
-            let pause = random.random_range(0..PAUSE_MS);
+            let pause = random.random_range(0..MAX_PAUSE_MS);
             task::sleep(Duration::from_millis(pause)).await;
         }
     }
 
-    /// The line of a key: mostly of the one that stays, else of one that may have been taken away.
+    /// Draws a key for an attempt, mostly the permanent one, else one that may have been revoked. Returns its header
+    /// line.
     fn draw_key(&self, attempt: &str, random: &mut SmallRng) -> String {
-        let version = self.world.version();
+        let version = self.cluster.version();
         let key = match random.random_range(0..KEY_CHOICES) {
-            age @ 0..OLD_KEYS => self.world.passing_key(version.saturating_sub(age).max(1)),
-            _ => self.world.steady_key(),
+            age @ 0..OLD_KEYS => self.cluster.passing_key(version.saturating_sub(age).max(1)),
+            _ => self.cluster.steady_key(),
         };
-        let SoakKey { text, taken_away_for } = key;
-        self.world.log.add(Observation::Sent { attempt: attempt.to_owned(), taken_away_for });
+        let SoakKey { text, revoked_for } = key;
+        self.cluster.log.add(Observation::Sent { attempt: attempt.to_owned(), revoked_for });
         key_line(&text)
     }
 
-    fn note_answer(&self, attempt: &str, may_repeat: bool, answer: &SeenAnswer) {
-        self.world.log.add(Observation::Answered {
+    fn record_answer(&self, attempt: &str, may_repeat: bool, answer: &SeenAnswer) {
+        self.cluster.log.add(Observation::Answered {
             attempt: attempt.to_owned(),
             may_repeat,
             status: answer.head.status,
@@ -116,81 +117,83 @@
         });
     }
 
-    /// Sends jobs, each until it is accepted, and reads them to their end.
+    /// Submits jobs, each until it is accepted, and reads their results until they are complete.
     pub async fn send_jobs(self, number: u64) {
         let mut random = self.random(number);
         let mut sent = 0;
         while !self.is_over() {
             sent += 1;
             let job = format!("j{number}-{sent}");
-            let items = random.random_range(1..=ITEMS);
+            let items = random.random_range(1..=MAX_ITEMS);
             loop {
-                let client = self.world.client(self.gateway(&mut random));
-                let status = timeout(PATIENCE, submit(client, &job, items)).await.unwrap_or(0);
+                let client = self.cluster.client(self.gateway(&mut random));
+                let status =
+                    timeout(CLIENT_TIMEOUT, submit(client, &job, items)).await.unwrap_or(0);
                 if status == 202 {
                     break;
                 }
                 if self.is_over() {
                     return;
                 }
-                task::sleep(JOB_PAUSE).await;
+                task::sleep(JOB_RETRY_PAUSE).await;
             }
             self.jobs.fetch_add(1, Ordering::Relaxed);
-            self.world.log.add(Observation::JobAccepted { job: job.clone(), items });
+            self.cluster.log.add(Observation::JobAccepted { job: job.clone(), items });
             self.read_to_end(&job, items, &mut random).await;
         }
     }
 
     async fn read_to_end(&self, job: &str, items: usize, random: &mut SmallRng) {
         loop {
-            let client = self.world.client(self.gateway(random));
-            let key = key_line(&self.world.steady_key().text);
-            let reading = timeout(PATIENCE, client.results_with(job, 0, &key));
+            let client = self.cluster.client(self.gateway(random));
+            let key = key_line(&self.cluster.steady_key().text);
+            let reading = timeout(CLIENT_TIMEOUT, client.results_with(job, 0, &key));
             if let Ok((200, page)) = reading.await {
                 let (results, _) = seen_results(&page);
                 let is_whole = results.len() >= items;
-                self.world.log.add(Observation::JobRead { job: job.to_owned(), results });
+                self.cluster.log.add(Observation::JobRead { job: job.to_owned(), results });
                 if is_whole {
                     return;
                 }
             }
-            task::sleep(JOB_PAUSE).await;
+            task::sleep(JOB_RETRY_PAUSE).await;
         }
     }
 
-    /// Asks gateways, one after the other, whether they know configurations.
+    /// Checks again and again whether a random gateway knows a recent configuration version.
     pub async fn ask_routes(self, number: u64) {
         let mut random = self.random(number);
         while !self.is_over() {
             let gateway = self.gateway(&mut random);
-            let version = self.world.version();
+            let version = self.cluster.version();
             let asked = random.random_range(version.saturating_sub(3).max(1)..=version);
             self.ask_route(gateway, asked).await;
-            task::sleep(Duration::from_millis(PAUSE_MS)).await;
+            task::sleep(Duration::from_millis(MAX_PAUSE_MS)).await;
         }
     }
 
-    /// Asks one gateway whether it knows a configuration; false when it doesn't say.
+    /// Checks whether a gateway knows the route of a configuration version, and records that. Returns false if the
+    /// gateway gave no clear answer.
     pub async fn ask_route(&self, gateway: usize, version: u64) -> bool {
-        let process = self.world.incarnation(gateway);
-        let client = self.world.client(gateway);
+        let process = self.cluster.incarnation(gateway);
+        let client = self.cluster.client(gateway);
         let path = format!("/v{version}/x");
         let asking = client.post(&path, PROBE, "", "hi");
-        let Ok(Some(answer)) = timeout(PATIENCE, asking).await else { return false };
-        let says = match answer.head.status {
+        let Ok(Some(answer)) = timeout(CLIENT_TIMEOUT, asking).await else { return false };
+        let verdict = match answer.head.status {
             404 => Some(false),
-            // It has no configuration yet, or no target: the route is known to neither.
+            // The gateway has no configuration or no target yet, so it can't tell whether the route exists.
             503 => None,
             _ => Some(true),
         };
-        let is_same = process == self.world.incarnation(gateway);
-        let Some(is_known) = says.filter(|_| is_same) else { return false };
-        self.world.log.add(Observation::RouteAsked { process, version, is_known });
+        let is_same = process == self.cluster.incarnation(gateway);
+        let Some(is_known) = verdict.filter(|_| is_same) else { return false };
+        self.cluster.log.add(Observation::RouteAsked { process, version, is_known });
         is_known
     }
 }
 
-/// Submits a job; the answer's status, 0 for none.
+/// Submits a job and returns the status of the answer, or 0 if there is none.
 async fn submit(client: StandInClient, job: &str, items: usize) -> u16 {
     let answer = client.submit_with(job, items, &key_line(STEADY_KEY)).await;
     answer.map_or(0, |answer| answer.head.status)
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/cluster.rs
@@ -1,4 +1,4 @@
-//! Everything that a soak runs: stand-ins, proxies and the gateways' processes.
+//! The cluster under test: stand-ins, proxies and gateway processes.
 
 use std::{
     fs, io,
@@ -29,57 +29,57 @@
     settings::SoakSettings,
 };
 
-/// A gateway that was told to stop is killed after this long, as the platform does it.
-const STOP_LONGEST: Duration = Duration::from_millis(8_000);
-/// How often something is looked at.
-const TICK: Duration = Duration::from_millis(50);
+/// Time after which a gateway that was told to stop is killed, as the platform does it.
+const STOP_TIMEOUT: Duration = Duration::from_millis(8_000);
+/// Interval of checks while waiting for a process or a fault.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A gateway and whether it is down because of a fault.
+/// A gateway process and the number of faults that keep it down.
 #[derive(Debug)]
-struct GatewaySlot {
+struct GatewayHandle {
     process: GatewayProcess,
-    /// Faults that hold it down or stopped now.
-    holds: u32,
+    /// Number of current faults that keep the process down or paused.
+    outages: u32,
 }
 
-/// A target behind its proxy. One that is replaced goes on under a new id.
+/// A target and the proxy in front of it. A replaced target gets a new id.
 #[derive(Debug)]
-struct TargetSlot {
+struct TargetHandle {
     target: StandInTarget,
     proxy: FaultProxy,
     replacements: u32,
 }
 
-/// Everything that a soak runs.
+/// The cluster under test.
 #[derive(Debug, Clone)]
-pub struct SoakWorld {
-    /// What was seen.
+pub struct SoakCluster {
+    /// Observations so far.
     pub log: ObservationLog,
     store: StandInStore,
     store_proxies: Arc<Vec<FaultProxy>>,
-    gateways: Arc<Vec<Mutex<GatewaySlot>>>,
-    targets: Arc<Vec<Mutex<TargetSlot>>>,
-    /// Targets that were replaced; they end their runs.
-    former: Arc<Mutex<Vec<StandInTarget>>>,
+    gateways: Arc<Vec<Mutex<GatewayHandle>>>,
+    targets: Arc<Vec<Mutex<TargetHandle>>>,
+    /// Replaced targets, which still finish their runs.
+    replaced: Arc<Mutex<Vec<StandInTarget>>>,
     version: Arc<AtomicU64>,
-    /// When each version was written, from the first on.
+    /// When each configuration version was written, starting with version 1.
     written: Arc<Mutex<Vec<Instant>>>,
 }
 
-/// A key of a client.
+/// A client's API key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SoakKey {
-    /// The key.
+    /// Text of the key.
     pub text: String,
-    /// How long ago it was taken away; `None` while it holds.
-    pub taken_away_for: Option<Duration>,
+    /// How long ago the key was revoked; `None` while it is valid.
+    pub revoked_for: Option<Duration>,
 }
 
-impl SoakWorld {
-    /// Starts everything.
+impl SoakCluster {
+    /// Starts the stand-ins, the proxies and the gateways.
     ///
     /// # Errors
-    /// A gateway can't be started.
+    /// The settings can't be written or a gateway can't be started.
     pub async fn start(settings: &SoakSettings) -> io::Result<Self> {
         fs::create_dir_all(&settings.folder)?;
         let store = StandInStore::start().await;
@@ -96,7 +96,7 @@
             config.accounts.revocation_bound_millis = REVOCATION_BOUND.as_secs_f64() * 1_000.0;
             store_proxies.push(proxy);
             let process = start_gateway(&settings.program, &settings.folder, &config)?;
-            gateways.push(Mutex::new(GatewaySlot { process, holds: 0 }));
+            gateways.push(Mutex::new(GatewayHandle { process, outages: 0 }));
         }
         Ok(Self {
             log: ObservationLog::default(),
@@ -104,72 +104,72 @@
             store_proxies: Arc::new(store_proxies),
             gateways: Arc::new(gateways),
             targets: Arc::new(targets),
-            former: Arc::default(),
+            replaced: Arc::default(),
             version: Arc::new(AtomicU64::new(1)),
             written: Arc::new(Mutex::new(vec![Instant::now()])),
         })
     }
 
-    /// How many gateways there are.
+    /// Number of gateways.
     pub fn gateway_count(&self) -> usize {
         self.gateways.len()
     }
 
-    /// A client of a gateway.
+    /// A client that calls the given gateway.
     pub fn client(&self, gateway: usize) -> StandInClient {
-        StandInClient { address: self.slot(gateway).process.clients }
+        StandInClient { address: self.gateway(gateway).process.clients }
     }
 
-    /// The process that is a gateway now.
+    /// Name of a gateway's current process, which changes with each start.
     pub fn incarnation(&self, gateway: usize) -> String {
-        self.slot(gateway).process.incarnation()
+        self.gateway(gateway).process.incarnation()
     }
 
-    /// Newest configuration in the store.
+    /// Version of the newest configuration in the store.
     pub fn version(&self) -> u64 {
         self.version.load(Ordering::Acquire)
     }
 
-    /// The key that stays.
+    /// The key that is never revoked.
     pub fn steady_key(&self) -> SoakKey {
-        SoakKey { text: STEADY_KEY.to_owned(), taken_away_for: None }
+        SoakKey { text: STEADY_KEY.to_owned(), revoked_for: None }
     }
 
-    /// The key that came with a version.
+    /// The key that was added by a configuration version.
     pub fn passing_key(&self, version: u64) -> SoakKey {
         let written = self.written.lock().unwrap_or_else(PoisonError::into_inner);
-        // The version that holds it no more is the second one after it; versions count from 1.
-        let taken_away_for = written.get(version as usize + 1).map(Instant::elapsed);
-        SoakKey { text: passing_key(version), taken_away_for }
+        // The key is revoked by the second version after it. Versions count from 1, so that is at this index.
+        let revoked_for = written.get(version as usize + 1).map(Instant::elapsed);
+        SoakKey { text: passing_key(version), revoked_for }
     }
 
-    /// Does what a fault says; what lasts goes on beside it.
+    /// Injects a fault. Faults with a duration go on in a task of their own.
     pub fn apply(&self, fault: &SoakFault) {
-        let world = self.clone();
+        let cluster = self.clone();
         let fault = fault.clone();
-        task::spawn(async move { world.inflict(fault).await });
+        task::spawn(async move { cluster.run_fault(fault).await });
     }
 
-    async fn inflict(&self, fault: SoakFault) {
+    async fn run_fault(&self, fault: SoakFault) {
         match fault {
             SoakFault::Kill { gateway, pause } => {
-                self.hold(gateway, GatewayProcess::kill);
+                self.begin_outage(gateway, GatewayProcess::kill);
                 task::sleep(pause).await;
                 self.restart(gateway);
             }
             SoakFault::Stop { gateway } => self.stop_and_restart(gateway).await,
             SoakFault::Pause { gateway, duration } => {
-                self.hold(gateway, |process| process.signal(Signal::STOP));
+                self.begin_outage(gateway, |process| process.signal(Signal::STOP));
                 task::sleep(duration).await;
-                self.release(gateway, |process| process.signal(Signal::CONT));
+                self.end_outage(gateway, |process| process.signal(Signal::CONT));
             }
-            SoakFault::Reload { gateway } => self.slot(gateway).process.signal(Signal::HUP),
+            SoakFault::Reload { gateway } => self.gateway(gateway).process.signal(Signal::HUP),
             SoakFault::StorePath { gateway, mode, duration } => {
-                spoil(&self.store_proxies[gateway], mode, duration).await;
+                disturb(&self.store_proxies[gateway], mode, duration).await;
             }
             SoakFault::TargetPath { target, mode, duration } => {
                 let proxy = self.target(target).proxy.clone();
-                spoil(&proxy, mode, duration).await;
+                disturb(&proxy, mode, duration).await;
             }
             SoakFault::TargetAnswers { target, conduct } => {
                 self.target(target).target.conduct(&conduct);
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Ends every fault that may still last, and starts what is down.
+    /// Ends all faults and waits until every gateway that is down was started again.
     pub async fn heal(&self) {
         self.store.set_down(false);
         self.store.lose_answers("", 0);
@@ -198,43 +198,43 @@
             proxy.set(ProxyMode::Pass);
         }
         for number in 0..self.targets.len() {
-            let slot = self.target(number);
-            slot.proxy.set(ProxyMode::Pass);
-            slot.target.forget_conduct();
+            let handle = self.target(number);
+            handle.proxy.set(ProxyMode::Pass);
+            handle.target.forget_conduct();
         }
         for gateway in 0..self.gateways.len() {
-            self.slot(gateway).process.signal(Signal::CONT);
-            while self.slot(gateway).holds > 0 {
-                task::sleep(TICK).await;
+            self.gateway(gateway).process.signal(Signal::CONT);
+            while self.gateway(gateway).outages > 0 {
+                task::sleep(POLL_INTERVAL).await;
             }
         }
     }
 
-    /// Kills every gateway. Clients that wait for jobs without an end hold this world for as long as the
-    /// process lives, so that no gateway would be dropped, and each would outlive the soak.
-    pub fn end(&self) {
+    /// Kills all gateways. Dropping the cluster isn't enough: clients that wait for jobs that never end keep a
+    /// clone of it until this process ends, so the gateway processes would outlive the soak test.
+    pub fn kill_gateways(&self) {
         for gateway in 0..self.gateways.len() {
-            self.slot(gateway).process.kill();
+            self.gateway(gateway).process.kill();
         }
     }
 
-    /// Starts gateways that ended by themselves, which is written down.
-    pub fn watch_processes(&self) {
+    /// Restarts gateways that ended by themselves, and records that.
+    pub fn restart_crashed(&self) {
         for gateway in 0..self.gateways.len() {
-            let mut slot = self.slot(gateway);
-            if slot.holds == 0 && slot.process.has_ended() {
-                let process = slot.process.incarnation();
+            let mut handle = self.gateway(gateway);
+            if handle.outages == 0 && handle.process.has_ended() {
+                let process = handle.process.incarnation();
                 self.log.add(Observation::EndedByItself { process });
-                start_again(&mut slot);
+                restart_process(&mut handle);
             }
         }
     }
 
-    /// Writes down what ran at targets.
-    pub fn note_runs(&self) {
-        let former = self.former.lock().unwrap_or_else(PoisonError::into_inner).clone();
+    /// Records what ran at the targets.
+    pub fn record_runs(&self) {
+        let replaced = self.replaced.lock().unwrap_or_else(PoisonError::into_inner).clone();
         let current = (0..self.targets.len()).map(|number| self.target(number).target.clone());
-        for target in former.into_iter().chain(current) {
+        for target in replaced.into_iter().chain(current) {
             for SeenAccount { attempt, account, has_key } in target.accounts() {
                 self.log.add(Observation::Ran { attempt, account, has_key });
             }
@@ -242,62 +242,63 @@
     }
 
     async fn stop_and_restart(&self, gateway: usize) {
-        self.hold(gateway, |process| process.signal(Signal::TERM));
+        self.begin_outage(gateway, |process| process.signal(Signal::TERM));
         let mut waited = Duration::ZERO;
-        while waited < STOP_LONGEST && !self.slot(gateway).process.has_ended() {
-            task::sleep(TICK).await;
-            waited += TICK;
+        while waited < STOP_TIMEOUT && !self.gateway(gateway).process.has_ended() {
+            task::sleep(POLL_INTERVAL).await;
+            waited += POLL_INTERVAL;
         }
         self.restart(gateway);
     }
 
     async fn replace_target(&self, number: usize) {
-        let (former, replacements) = {
-            let slot = self.target(number);
-            (slot.target.clone(), slot.replacements + 1)
+        let (replaced, replacements) = {
+            let handle = self.target(number);
+            (handle.target.clone(), handle.replacements + 1)
         };
         let next = start_target(&self.store, number, replacements).await;
-        self.store.delete("servers", &former.id);
-        self.former.lock().unwrap_or_else(PoisonError::into_inner).push(former);
+        self.store.delete("servers", &replaced.id);
+        self.replaced.lock().unwrap_or_else(PoisonError::into_inner).push(replaced);
         *self.target(number) = next;
     }
 
-    fn hold(&self, gateway: usize, act: impl FnOnce(&mut GatewayProcess)) {
-        let mut slot = self.slot(gateway);
-        slot.holds += 1;
-        act(&mut slot.process);
+    fn begin_outage(&self, gateway: usize, act: impl FnOnce(&mut GatewayProcess)) {
+        let mut handle = self.gateway(gateway);
+        handle.outages += 1;
+        act(&mut handle.process);
     }
 
-    fn release(&self, gateway: usize, act: impl FnOnce(&mut GatewayProcess)) {
-        let mut slot = self.slot(gateway);
-        slot.holds -= 1;
-        act(&mut slot.process);
-        if slot.holds == 0 && slot.process.has_ended() {
-            start_again(&mut slot);
+    fn end_outage(&self, gateway: usize, act: impl FnOnce(&mut GatewayProcess)) {
+        let mut handle = self.gateway(gateway);
+        handle.outages -= 1;
+        act(&mut handle.process);
+        if handle.outages == 0 && handle.process.has_ended() {
+            restart_process(&mut handle);
         }
     }
 
     fn restart(&self, gateway: usize) {
-        let mut slot = self.slot(gateway);
-        slot.holds -= 1;
-        start_again(&mut slot);
+        let mut handle = self.gateway(gateway);
+        handle.outages -= 1;
+        restart_process(&mut handle);
     }
 
-    fn slot(&self, gateway: usize) -> MutexGuard<'_, GatewaySlot> {
+    fn gateway(&self, gateway: usize) -> MutexGuard<'_, GatewayHandle> {
         self.gateways[gateway].lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn target(&self, number: usize) -> MutexGuard<'_, TargetSlot> {
+    fn target(&self, number: usize) -> MutexGuard<'_, TargetHandle> {
         self.targets[number].lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// A program that started once and doesn't again has gone from the disk: the run can't go on.
-fn start_again(slot: &mut GatewaySlot) {
-    slot.process.start().expect("the program starts again");
+/// Starts a gateway's process again. The program started before, so it has been removed from the disk if this
+/// fails, and the soak test can't go on.
+fn restart_process(handle: &mut GatewayHandle) {
+    handle.process.start().expect("the program starts again");
 }
 
-async fn spoil(proxy: &FaultProxy, mode: ProxyMode, duration: Duration) {
+async fn disturb(proxy: &FaultProxy, mode: ProxyMode, duration: Duration) {
     proxy.set(mode);
     task::sleep(duration).await;
     proxy.set(ProxyMode::Pass);
@@ -309,13 +310,13 @@
     FaultProxy::start(listener, address, destination)
 }
 
-async fn start_target(store: &StandInStore, number: usize, replacements: u32) -> TargetSlot {
+async fn start_target(store: &StandInStore, number: usize, replacements: u32) -> TargetHandle {
     let id = format!("t-{number}-{replacements}");
     let target = StandInTarget::start(&id).await;
     target.mark_events();
     let proxy = start_proxy(target.address).await;
     store.put("servers", &id, target.entry_at(proxy.address));
-    TargetSlot { target, proxy, replacements }
+    TargetHandle { target, proxy, replacements }
 }
 
 fn start_gateway(
--- a/crates/soak/src/config.rs
+++ b/crates/soak/src/config.rs
@@ -1,4 +1,4 @@
-//! Settings of a gateway on loopback.
+//! Settings of a gateway process on loopback.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -6,14 +6,14 @@
 use notch_standins::lasting_address;
 use notch_types::prelude::VmName;
 
-/// Secret of the gateways' links.
+/// Shared secret of the links between gateways.
 const SECRET: &str = "for-tests-only-for-tests-only";
 
-/// How long a soaked gateway may honour a key that was taken away.
+/// Longest time for which a gateway in the soak test may still accept a revoked key.
 pub const REVOCATION_BOUND: Duration = Duration::from_millis(2_500);
 
-/// Settings of a gateway that calls the store at `store`, with links as they are deployed and addresses
-/// of its own.
+/// Settings of a gateway that calls the store at `store`, with links as in production and its own loopback
+/// addresses.
 pub fn gateway_config(vm: &str, store: SocketAddr) -> EntryConfig {
     let mut config = EntryConfig::default();
     config.node.vm = VmName::new(vm);
--- a/crates/soak/src/fault.rs
+++ b/crates/soak/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults, drawn from a seed.
+//! The faults that a soak test injects, drawn at random.
 
 use std::time::Duration;
 
@@ -7,87 +7,87 @@
 
 use crate::proxy::ProxyMode;
 
-/// One fault. Those with a duration are taken back after it.
+/// One fault. A fault with a duration is undone after it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SoakFault {
-    /// A gateway is killed, and started again after a pause.
+    /// Kills a gateway and starts it again after a pause.
     Kill {
-        /// Which gateway.
+        /// Index of the gateway.
         gateway: usize,
-        /// From its end to its start.
+        /// Time from the kill to the start.
         pause: Duration,
     },
-    /// A gateway is told to stop, and started again when it has ended.
+    /// Tells a gateway to stop and starts it again once it has ended.
     Stop {
-        /// Which gateway.
+        /// Index of the gateway.
         gateway: usize,
     },
-    /// A gateway stands still.
+    /// Freezes a gateway's process.
     Pause {
-        /// Which gateway.
+        /// Index of the gateway.
         gateway: usize,
-        /// How long it lasts.
+        /// Length of the fault.
         duration: Duration,
     },
-    /// A gateway reads its settings again.
+    /// Makes a gateway reload its settings.
     Reload {
-        /// Which gateway.
+        /// Index of the gateway.
         gateway: usize,
     },
-    /// A gateway's connections to the store are spoiled.
+    /// Disturbs a gateway's connections to the store.
     StorePath {
-        /// Which gateway.
+        /// Index of the gateway.
         gateway: usize,
-        /// In which way.
+        /// Mode of the proxy.
         mode: ProxyMode,
-        /// How long it lasts.
+        /// Length of the fault.
         duration: Duration,
     },
-    /// The connections to a target are spoiled.
+    /// Disturbs the connections to a target.
     TargetPath {
-        /// Which target.
+        /// Index of the target.
         target: usize,
-        /// In which way.
+        /// Mode of the proxy.
         mode: ProxyMode,
-        /// How long it lasts.
+        /// Length of the fault.
         duration: Duration,
     },
-    /// A target answers its next requests in these ways.
+    /// Makes a target answer its next requests with faults.
     TargetAnswers {
-        /// Which target.
+        /// Index of the target.
         target: usize,
-        /// One for each request.
+        /// Conduct for each of the next requests.
         conduct: Vec<Conduct>,
     },
-    /// The store turns all calls away.
+    /// The store rejects all calls.
     StoreDown {
-        /// How long it lasts.
+        /// Length of the fault.
         duration: Duration,
     },
-    /// The store does the next writes of a kind and doesn't answer them.
+    /// The store applies the next writes of a kind without answering them.
     LostWrites {
-        /// The kind.
+        /// Kind of the written objects.
         kind: &'static str,
-        /// How many writes.
+        /// Number of writes.
         count: usize,
     },
     /// The operator writes a new configuration.
     Configuration,
-    /// A target leaves and comes back as a new one.
+    /// A target leaves and a new one takes its place.
     TargetReplaced {
-        /// Which target.
+        /// Index of the target.
         target: usize,
     },
 }
 
-/// Kinds of objects whose writes lose their answers.
+/// Kinds of objects for whose writes answers are lost.
 const WRITTEN_KINDS: [&str; 4] =
     ["notch-jobs", "notch-results", "notch-job-ends", "notch-gateways"];
-/// Requests whose answers one fault spoils, at most.
-const SPOILED_ANSWERS: usize = 6;
+/// Most requests that one [`SoakFault::TargetAnswers`] affects.
+const MAX_FAULTY_ANSWERS: usize = 6;
 
 impl SoakFault {
-    /// Draws a fault for this many gateways and targets.
+    /// Draws a random fault for this number of gateways and targets.
     pub fn draw(random: &mut SmallRng, gateways: usize, targets: usize) -> Self {
         let gateway = random.random_range(0..gateways);
         let target = random.random_range(0..targets);
@@ -113,7 +113,7 @@
 }
 
 fn draw_conduct(random: &mut SmallRng) -> Vec<Conduct> {
-    let count = random.random_range(1..=SPOILED_ANSWERS);
+    let count = random.random_range(1..=MAX_FAULTY_ANSWERS);
     let mut draw = || match random.random_range(0..6) {
         0 => Conduct::CutAfter(random.random_range(0..5)),
         1 => Conduct::Refuse,
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,10 +1,12 @@
-//! A randomized soak of the real programs: gateways as processes of their own on loopback, between
-//! stand-ins of the store, of targets and of clients. Faults come from outside of them: connections
-//! that a proxy delays, resets, silences or cuts one way, and signals that stop, kill, pause and
-//! restart. What clients and targets saw is held against the promises.
+//! Randomized soak test of the real gateway program. Gateways run as separate processes on loopback, with
+//! stand-ins for the store, the targets and the clients. Faults are injected from outside of the processes:
+//! proxies delay, reset or stall connections or drop their answers, and signals stop, kill, pause and restart
+//! gateways.
+//! Afterwards the observations of clients and targets are checked against the guarantees of the system.
 
 pub mod checker;
 pub mod clients;
+pub mod cluster;
 pub mod config;
 pub mod fault;
 pub mod observation;
@@ -12,9 +14,8 @@
 pub mod proxy;
 pub mod run;
 pub mod settings;
-pub mod world;
 
-/// What users of this crate nearly always need.
+/// The types that most users of this crate need.
 pub mod prelude {
     pub use crate::{
         checker::{BrokenPromise, PromiseKind, check},
--- a/crates/soak/src/observation.rs
+++ b/crates/soak/src/observation.rs
@@ -1,4 +1,4 @@
-//! What clients and targets saw.
+//! Observations of clients and targets, which the checker evaluates.
 
 use std::{
     sync::{Arc, Mutex, PoisonError},
@@ -7,90 +7,90 @@
 
 pub use notch_platform_standins::client::SeenResult;
 
-/// One thing that a client, a target or the run saw.
+/// One observation by a client, by a target or by the soak test itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Observation {
-    /// A request is about to be sent.
+    /// A client is about to send a request.
     Sent {
-        /// The client's attempt.
+        /// Id of the client's attempt.
         attempt: String,
-        /// How long ago its key was taken away; `None` while it holds.
-        taken_away_for: Option<Duration>,
+        /// How long ago its key was revoked; `None` while the key is valid.
+        revoked_for: Option<Duration>,
     },
     /// A request was answered, or its connection ended.
     Answered {
-        /// The client's attempt.
+        /// Id of the client's attempt.
         attempt: String,
-        /// Whether it may be run more than once.
+        /// Whether the request may run more than once.
         may_repeat: bool,
-        /// The status.
+        /// HTTP status.
         status: u16,
-        /// The attempt that the answer names.
+        /// Attempt that the answer names.
         named: Option<String>,
-        /// The body as far as it came.
+        /// The body as far as it was received.
         body: String,
-        /// Whether it came to its end.
+        /// Whether the body was received to its end.
         is_whole: bool,
     },
     /// A target began to run a request.
     Ran {
-        /// The client's attempt, or the item.
+        /// The client's attempt, or the id of the item.
         attempt: String,
-        /// The account for which it ran.
+        /// The client account for which it ran.
         account: Option<String>,
-        /// Whether the client's key came with it.
+        /// Whether the target was sent the client's key.
         has_key: bool,
     },
     /// A job was accepted.
     JobAccepted {
-        /// The job.
+        /// Id of the job.
         job: String,
-        /// Its items, named after it.
+        /// Number of its items, whose ids are derived from the job's id.
         items: usize,
     },
     /// A job's results were read from the start.
     JobRead {
-        /// The job.
+        /// Id of the job.
         job: String,
-        /// Results in their order.
+        /// The results in their order.
         results: Vec<SeenResult>,
     },
-    /// A gateway was asked whether it knows a route, which each configuration from one on has.
+    /// A gateway was asked for a route that a configuration version added and all later ones have.
     RouteAsked {
-        /// The gateway's process: a restarted one may know less for a moment.
+        /// The gateway's process. A restarted one may know an older configuration for a moment.
         process: String,
-        /// The configuration that first had the route.
+        /// The configuration version that added the route.
         version: u64,
-        /// Whether it knew it.
+        /// Whether the gateway knew the route.
         is_known: bool,
     },
-    /// The faults are over and the time to recover as well.
+    /// The faults have ended, and gateways have recovered or the time for that is over.
     Recovered {
         /// Gateways that aren't ready.
         not_ready: Vec<String>,
-        /// The gateways' processes that run now.
+        /// The current processes of the gateways.
         processes: Vec<String>,
-        /// Newest configuration that the store holds.
+        /// Version of the newest configuration in the store.
         version: u64,
     },
-    /// A gateway's process ended though nobody stopped it.
+    /// A gateway's process ended without having been stopped.
     EndedByItself {
-        /// Which.
+        /// The process.
         process: String,
     },
 }
 
-/// Where everyone writes what they saw.
+/// Shared log of all observations.
 #[derive(Debug, Clone, Default)]
 pub struct ObservationLog(Arc<Mutex<Vec<Observation>>>);
 
 impl ObservationLog {
-    /// Adds one.
+    /// Adds an observation.
     pub fn add(&self, observation: Observation) {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).push(observation);
     }
 
-    /// All so far, in the order in which they were written.
+    /// All observations so far, in the order in which they were added.
     pub fn all(&self) -> Vec<Observation> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
--- a/crates/soak/src/process.rs
+++ b/crates/soak/src/process.rs
@@ -1,4 +1,4 @@
-//! A gateway as a process of its own, and the signals that it gets.
+//! A gateway as a separate process that can be started, signalled and killed.
 
 use std::{
     fs::{self, File},
@@ -11,12 +11,12 @@
 use notch_settings::EntryConfig;
 use rustix::process::{Pid, Signal, kill_process};
 
-/// A gateway's process. It is killed when this is dropped.
+/// A gateway process, which is killed on drop.
 #[derive(Debug)]
 pub struct GatewayProcess {
-    /// Its VM.
+    /// Name of its VM.
     pub name: String,
-    /// Where it serves clients.
+    /// Address at which it serves clients.
     pub clients: SocketAddr,
     program: PathBuf,
     settings: PathBuf,
@@ -26,7 +26,7 @@
 }
 
 impl GatewayProcess {
-    /// A gateway that hasn't been started, with its settings written to `folder`.
+    /// Writes the settings of a gateway to `folder` without starting it.
     ///
     /// # Errors
     /// The settings can't be written.
@@ -40,7 +40,7 @@
         Ok(Self { name, clients, program, settings, log, child: None, starts: 0 })
     }
 
-    /// Starts it, after its end if it runs.
+    /// Starts the process; a running one is killed first.
     ///
     /// # Errors
     /// The program can't be started.
@@ -60,29 +60,29 @@
         Ok(())
     }
 
-    /// Its name with the number of its start.
+    /// Name of the gateway with the number of its starts, which identifies the process.
     pub fn incarnation(&self) -> String {
         format!("{}#{}", self.name, self.starts)
     }
 
-    /// Sends it a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
         let pid = self.child.as_ref().and_then(|child| Pid::from_raw(child.id() as i32));
         if let Some(pid) = pid {
-            // It may have ended by itself, which `has_ended` tells.
+            // The process may have ended by itself, which `has_ended` reports.
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Whether it has ended by itself or by a signal.
+    /// Whether the process isn't running.
     pub fn has_ended(&mut self) -> bool {
         self.child.as_mut().is_none_or(|child| matches!(child.try_wait(), Ok(Some(_)) | Err(_)))
     }
 
-    /// Kills it.
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // Both fail only when it has ended already.
+            // Both calls fail only if the process has ended already.
             let _ = child.kill();
             let _ = child.wait();
         }
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy on loopback that spoils the connections through it.
+//! TCP proxy on loopback that injects network faults.
 
 use std::{
     net::SocketAddr,
@@ -15,31 +15,31 @@
     task,
 };
 
-/// How long each piece is held back by a slow proxy.
-const DELAY: Duration = Duration::from_millis(60);
-/// How often a silent connection looks whether it still is.
-const SILENCE_TICK: Duration = Duration::from_millis(50);
-/// Bytes carried at a time.
-const PIECE_BYTES: usize = 16 << 10;
+/// How long each chunk is delayed in [`ProxyMode::Delay`].
+const CHUNK_DELAY: Duration = Duration::from_millis(60);
+/// Interval at which a stalled connection checks whether the proxy's mode has changed.
+const SILENCE_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Most bytes forwarded at a time.
+const CHUNK_BYTES: usize = 16 << 10;
 
-/// What the proxy does with connections.
+/// How the proxy treats its connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
 pub enum ProxyMode {
-    /// Carries everything.
+    /// Forwards everything.
     Pass = 0,
-    /// Carries everything late.
+    /// Forwards everything with a delay.
     Delay = 1,
-    /// Closes every connection, old and new.
+    /// Closes new connections at once, and existing ones as soon as data arrives.
     Reset = 2,
-    /// Carries nothing and closes nothing.
+    /// Forwards nothing and closes nothing.
     Silent = 3,
-    /// Carries what is asked, not what is answered.
+    /// Forwards requests but no answers.
     OneWay = 4,
 }
 
 impl ProxyMode {
-    /// Every way to spoil connections.
+    /// All modes that inject a fault.
     pub const FAULTS: [Self; 4] = [Self::Delay, Self::Reset, Self::Silent, Self::OneWay];
 
     fn of(byte: u8) -> Self {
@@ -53,28 +53,28 @@
     }
 }
 
-/// A proxy to one address.
+/// A proxy in front of one address.
 #[derive(Debug, Clone)]
 pub struct FaultProxy {
-    /// Where it listens.
+    /// Address at which the proxy listens.
     pub address: SocketAddr,
     mode: Arc<AtomicU8>,
 }
 
 impl FaultProxy {
-    /// A proxy to `destination`, on `listener`.
+    /// Starts a proxy to `destination` that accepts connections on `listener`.
     pub fn start(listener: TcpListener, address: SocketAddr, destination: SocketAddr) -> Self {
         let proxy = Self { address, mode: Arc::default() };
         let shared = proxy.clone();
         task::spawn(async move {
             while let Ok((client, _)) = listener.accept().await {
-                task::spawn(carry(shared.clone(), client, destination));
+                task::spawn(forward(shared.clone(), client, destination));
             }
         });
         proxy
     }
 
-    /// Sets what it does.
+    /// Sets the mode for all connections.
     pub fn set(&self, mode: ProxyMode) {
         self.mode.store(mode as u8, Ordering::Release);
     }
@@ -84,37 +84,43 @@
     }
 }
 
-async fn carry(proxy: FaultProxy, client: TcpStream, destination: SocketAddr) {
+async fn forward(proxy: FaultProxy, client: TcpStream, destination: SocketAddr) {
     if proxy.mode() == ProxyMode::Reset {
         return;
     }
     while proxy.mode() == ProxyMode::Silent {
-        task::sleep(SILENCE_TICK).await;
+        task::sleep(SILENCE_POLL_INTERVAL).await;
     }
     let Ok(server) = TcpStream::connect(destination).await else { return };
-    let there = task::spawn(carry_one_way(proxy.clone(), client.clone(), server.clone(), false));
-    carry_one_way(proxy, server.clone(), client.clone(), true).await;
+    let requests =
+        task::spawn(forward_one_way(proxy.clone(), client.clone(), server.clone(), false));
+    forward_one_way(proxy, server.clone(), client.clone(), true).await;
     let _ = (client.shutdown(Shutdown::Both), server.shutdown(Shutdown::Both));
-    there.await;
+    requests.await;
 }
 
-/// Carries one direction until either side ends or a fault lost a piece of it.
-async fn carry_one_way(proxy: FaultProxy, mut from: TcpStream, mut to: TcpStream, is_answer: bool) {
-    let mut piece = vec![0; PIECE_BYTES];
-    while let Ok(count @ 1..) = from.read(&mut piece).await {
-        let holds = |mode| mode == ProxyMode::Silent || (is_answer && mode == ProxyMode::OneWay);
-        let was_held = holds(proxy.mode());
-        while holds(proxy.mode()) {
-            task::sleep(SILENCE_TICK).await;
+/// Forwards one direction until either side closes or a fault loses data.
+async fn forward_one_way(
+    proxy: FaultProxy,
+    mut from: TcpStream,
+    mut to: TcpStream,
+    is_answer: bool,
+) {
+    let mut chunk = vec![0; CHUNK_BYTES];
+    while let Ok(count @ 1..) = from.read(&mut chunk).await {
+        let is_held = |mode| mode == ProxyMode::Silent || (is_answer && mode == ProxyMode::OneWay);
+        let was_held = is_held(proxy.mode());
+        while is_held(proxy.mode()) {
+            task::sleep(SILENCE_POLL_INTERVAL).await;
         }
-        // What a real network holds back for long is lost, and its connection with it.
+        // Data that a real network holds back for long is lost, and the connection with it.
         if was_held || proxy.mode() == ProxyMode::Reset {
             break;
         }
         if proxy.mode() == ProxyMode::Delay {
-            task::sleep(DELAY).await;
+            task::sleep(CHUNK_DELAY).await;
         }
-        if to.write_all(&piece[..count]).await.is_err() {
+        if to.write_all(&chunk[..count]).await.is_err() {
             break;
         }
     }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One soak, from its start to its verdict.
+//! Runs one soak test and checks its observations.
 
 use std::{
     io,
@@ -14,46 +14,46 @@
 
 use crate::{
     checker::{BrokenPromise, check},
-    clients::ClientRun,
+    clients::ClientContext,
+    cluster::SoakCluster,
     fault::SoakFault,
     observation::Observation,
     settings::SoakSettings,
-    world::SoakWorld,
 };
 
-/// From the start to the first fault: gateways are ready within a second.
+/// From the start to the first fault. Gateways are ready within a second.
 const WARM_UP: Duration = Duration::from_millis(1_500);
-/// Shortest and longest time between two faults, milliseconds: shorter than most faults last.
+/// Range of the time between two faults. It is shorter than most faults last, so that faults overlap.
 const FAULT_GAP_MS: std::ops::Range<u64> = 200..1_500;
-/// After the last fault, gateways have this long until they must be ready and know the newest
-/// configuration. They need a second or two; a busy machine may make that ten times as long.
-const RECOVERY_LONGEST: Duration = Duration::from_secs(30);
-/// How long clients wait for the end of their jobs after that: a lost item is tried again after 10 s.
-const JOBS_LONGEST: Duration = Duration::from_secs(60);
-/// Pause between two looks at gateways that recover.
-const RECOVERY_TICK: Duration = Duration::from_millis(250);
+/// Time after the last fault within which gateways must be ready and know the newest configuration. They
+/// need a second or two, and up to ten times as long on a busy machine.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(30);
+/// How long clients then wait for their jobs to end. A lost item is retried after 10 s.
+const JOB_END_TIMEOUT: Duration = Duration::from_secs(60);
+/// Interval between two checks of a gateway that recovers.
+const RECOVERY_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What a soak came to.
+/// Result of a soak test.
 #[derive(Debug)]
 pub struct SoakReport {
-    /// The faults, with the time since the start at which each began.
+    /// The injected faults, each with the time since injection began.
     pub faults: Vec<(Duration, SoakFault)>,
-    /// Online requests sent.
+    /// Number of online requests sent.
     pub requests: usize,
-    /// Jobs accepted.
+    /// Number of jobs accepted.
     pub jobs: usize,
-    /// Promises broken.
+    /// Broken promises.
     pub broken: Vec<BrokenPromise>,
 }
 
-/// Runs a soak.
+/// Runs a soak test.
 ///
 /// # Errors
-/// The gateways' program can't be started.
+/// The settings can't be written or the gateway program can't be started.
 pub async fn run_soak(settings: &SoakSettings) -> io::Result<SoakReport> {
-    let world = SoakWorld::start(settings).await?;
-    let run = ClientRun {
-        world: world.clone(),
+    let cluster = SoakCluster::start(settings).await?;
+    let context = ClientContext {
+        cluster: cluster.clone(),
         seed: settings.seed,
         is_over: Arc::new(AtomicBool::new(false)),
         requests: Arc::default(),
@@ -62,70 +62,74 @@
     task::sleep(WARM_UP).await;
     let mut clients = Vec::new();
     for number in 0..settings.clients {
-        clients.push(task::spawn(run.clone().send_requests(number)));
+        clients.push(task::spawn(context.clone().send_requests(number)));
     }
     for number in 0..settings.clients.div_ceil(3) {
-        clients.push(task::spawn(run.clone().send_jobs(1_000 + number)));
+        clients.push(task::spawn(context.clone().send_jobs(1_000 + number)));
     }
-    clients.push(task::spawn(run.clone().ask_routes(2_000)));
-    let faults = inflict_faults(settings, &world).await;
-    world.heal().await;
-    note_recovery(&run).await;
-    run.is_over.store(true, Ordering::Release);
+    clients.push(task::spawn(context.clone().ask_routes(2_000)));
+    let faults = inject_faults(settings, &cluster).await;
+    cluster.heal().await;
+    record_recovery(&context).await;
+    context.is_over.store(true, Ordering::Release);
     let ending = async {
         for client in clients {
             client.await;
         }
     };
-    // Jobs without an end show in what was read of them.
-    let _ = timeout(JOBS_LONGEST, ending).await;
-    world.watch_processes();
-    world.note_runs();
-    world.end();
+    // Jobs that haven't ended by then show up in the check as items without a result.
+    let _ = timeout(JOB_END_TIMEOUT, ending).await;
+    cluster.restart_crashed();
+    cluster.record_runs();
+    cluster.kill_gateways();
     Ok(SoakReport {
         faults,
-        requests: run.requests.load(Ordering::Relaxed),
-        jobs: run.jobs.load(Ordering::Relaxed),
-        broken: check(&world.log.all()),
+        requests: context.requests.load(Ordering::Relaxed),
+        jobs: context.jobs.load(Ordering::Relaxed),
+        broken: check(&cluster.log.all()),
     })
 }
 
-async fn inflict_faults(settings: &SoakSettings, world: &SoakWorld) -> Vec<(Duration, SoakFault)> {
+async fn inject_faults(
+    settings: &SoakSettings,
+    cluster: &SoakCluster,
+) -> Vec<(Duration, SoakFault)> {
     let mut random = SmallRng::seed_from_u64(settings.seed);
     let mut faults = Vec::new();
     let began = Instant::now();
     while began.elapsed() < settings.duration {
         let fault = SoakFault::draw(&mut random, settings.gateways, settings.targets);
-        world.apply(&fault);
+        cluster.apply(&fault);
         faults.push((began.elapsed(), fault));
         let gap = random.random_range(FAULT_GAP_MS);
         task::sleep(Duration::from_millis(gap)).await;
-        world.watch_processes();
+        cluster.restart_crashed();
     }
     faults
 }
 
-/// Waits until every gateway is ready and knows the newest configuration, or long enough.
-async fn note_recovery(run: &ClientRun) {
-    let version = run.world.version();
-    let gateways = 0..run.world.gateway_count();
+/// Waits until every gateway is ready and knows the newest configuration, or until the time-out, and records
+/// the outcome.
+async fn record_recovery(context: &ClientContext) {
+    let version = context.cluster.version();
+    let gateways = 0..context.cluster.gateway_count();
     let mut not_ready = Vec::new();
     for gateway in gateways.clone() {
-        let recovering = until_recovered(run, gateway, version);
-        if timeout(RECOVERY_LONGEST, recovering).await.is_err() {
-            not_ready.push(run.world.incarnation(gateway));
+        let recovering = until_recovered(context, gateway, version);
+        if timeout(RECOVERY_TIMEOUT, recovering).await.is_err() {
+            not_ready.push(context.cluster.incarnation(gateway));
         }
     }
-    let processes = gateways.map(|gateway| run.world.incarnation(gateway)).collect();
-    run.world.log.add(Observation::Recovered { not_ready, processes, version });
+    let processes = gateways.map(|gateway| context.cluster.incarnation(gateway)).collect();
+    context.cluster.log.add(Observation::Recovered { not_ready, processes, version });
 }
 
-async fn until_recovered(run: &ClientRun, gateway: usize, version: u64) {
+async fn until_recovered(context: &ClientContext, gateway: usize, version: u64) {
     loop {
-        let is_ready = run.world.client(gateway).is_ready().await;
-        if is_ready && run.ask_route(gateway, version).await {
+        let is_ready = context.cluster.client(gateway).is_ready().await;
+        if is_ready && context.ask_route(gateway, version).await {
             return;
         }
-        task::sleep(RECOVERY_TICK).await;
+        task::sleep(RECOVERY_POLL_INTERVAL).await;
     }
 }
--- a/crates/soak/src/settings.rs
+++ b/crates/soak/src/settings.rs
@@ -1,23 +1,23 @@
-//! What a soak is to do.
+//! Settings of a soak test.
 
 use std::{path::PathBuf, time::Duration};
 
-/// What a soak does.
+/// Settings of a soak test.
 #[derive(Debug, Clone)]
 pub struct SoakSettings {
-    /// Seed of the faults and of the clients.
+    /// Seed of the random faults and client behaviour.
     pub seed: u64,
-    /// How long faults come.
+    /// How long faults are injected.
     pub duration: Duration,
-    /// The gateways' program.
+    /// Path of the gateway program.
     pub program: PathBuf,
-    /// Where settings and logs of the gateways are written.
+    /// Folder for the settings and logs of the gateways.
     pub folder: PathBuf,
-    /// How many gateways.
+    /// Number of gateways.
     pub gateways: usize,
-    /// How many targets.
+    /// Number of targets.
     pub targets: usize,
-    /// How many clients send online requests; a third as many send jobs.
+    /// Number of clients that send online requests; a third as many send jobs.
     pub clients: u64,
 }
 
--- a/crates/soak/tests/checker.rs
+++ b/crates/soak/tests/checker.rs
@@ -1,4 +1,4 @@
-//! The checker finds a fault of each promise, and none where all is right.
+//! The checker finds a violation of each promise, and none in a valid run.
 
 use std::time::Duration;
 
@@ -36,9 +36,9 @@
     Observation::Ran { attempt: attempt.to_owned(), account, has_key }
 }
 
-fn sent(attempt: &str, taken_away_for: Duration) -> Observation {
-    let taken_away_for = Some(taken_away_for);
-    Observation::Sent { attempt: attempt.to_owned(), taken_away_for }
+fn sent(attempt: &str, revoked_for: Duration) -> Observation {
+    let revoked_for = Some(revoked_for);
+    Observation::Sent { attempt: attempt.to_owned(), revoked_for }
 }
 
 fn read(results: Vec<SeenResult>) -> Observation {
@@ -57,8 +57,8 @@
     }
 }
 
-/// A run in which every promise is kept.
-fn right() -> Vec<Observation> {
+/// Observations of a run in which every promise is kept.
+fn valid_run() -> Vec<Observation> {
     vec![
         answered("a", 200),
         ran("a"),
@@ -80,11 +80,11 @@
 }
 
 #[test]
-fn a_right_run_breaks_nothing() {
-    assert_eq!(check(&right()), []);
+fn a_valid_run_breaks_no_promise() {
+    assert_eq!(check(&valid_run()), []);
 }
 
-fn spoiled(
+fn corrupted(
     attempt: &str,
     edit: impl Fn(&mut String, &mut bool, &mut Option<String>),
 ) -> Observation {
@@ -96,19 +96,19 @@
 }
 
 #[rstest]
-#[case::anothers_answer(PromiseKind::OwnAnswer, vec![spoiled("x", |body, _, _| *body = marked_events("y"))])]
-#[case::an_event_twice(PromiseKind::OwnAnswer, vec![spoiled("x", |body, _, _| body.push_str("id: 6\n\n"))])]
-#[case::cut_but_whole(PromiseKind::OwnAnswer, vec![spoiled("x", |body, _, _| body.truncate(20))])]
-#[case::another_name(PromiseKind::OwnAnswer, vec![spoiled("x", |_, _, named| *named = None)])]
+#[case::answer_of_another_request(PromiseKind::OwnAnswer, vec![corrupted("x", |body, _, _| *body = marked_events("y"))])]
+#[case::extra_event(PromiseKind::OwnAnswer, vec![corrupted("x", |body, _, _| body.push_str("id: 6\n\n"))])]
+#[case::truncated_but_complete(PromiseKind::OwnAnswer, vec![corrupted("x", |body, _, _| body.truncate(20))])]
+#[case::missing_attempt_name(PromiseKind::OwnAnswer, vec![corrupted("x", |_, _, named| *named = None)])]
 #[case::refused_and_run(PromiseKind::TrueRefusal, vec![answered("x", 503), ran("x")])]
 #[case::run_twice(PromiseKind::RunsOnce, vec![
     Observation::Answered { attempt: "x".into(), may_repeat: false, status: 502, named: None, body: String::new(), is_whole: true },
     ran("x"), ran("x"),
 ])]
-#[case::for_nobody(PromiseKind::OwnAccount, vec![ran_for("x", None, false)])]
-#[case::for_another(PromiseKind::OwnAccount, vec![ran_for("x", Some("two"), false)])]
-#[case::with_its_key(PromiseKind::OwnAccount, vec![ran_for("x", Some(ACCOUNT), true)])]
-#[case::taken_away(PromiseKind::TakenAway, vec![ran("d")])]
+#[case::no_account(PromiseKind::OwnAccount, vec![ran_for("x", None, false)])]
+#[case::other_account(PromiseKind::OwnAccount, vec![ran_for("x", Some("two"), false)])]
+#[case::key_sent_to_target(PromiseKind::OwnAccount, vec![ran_for("x", Some(ACCOUNT), true)])]
+#[case::revoked_key(PromiseKind::TakenAway, vec![ran("d")])]
 #[case::lost_item(PromiseKind::OneResult, vec![Observation::JobAccepted { job: "k".into(), items: 1 }])]
 #[case::listed_twice(PromiseKind::OneResult, vec![read(vec![result("j", 1), result("j", 0), result("j", 0)])])]
 #[case::wrong_output(PromiseKind::OneResult, vec![
@@ -118,11 +118,11 @@
 #[case::other_order(PromiseKind::GrowingList, vec![read(vec![result("j", 0)])])]
 #[case::reverted(PromiseKind::NoReversion, vec![asked(2, false)])]
 #[case::not_ready(PromiseKind::Recovery, vec![recovered(&["g#1"], 3)])]
-#[case::left_behind(PromiseKind::Recovery, vec![recovered(&[], 4)])]
-#[case::ended(PromiseKind::Recovery, vec![Observation::EndedByItself { process: "g#1".into() }])]
-fn a_planted_fault_is_found(#[case] kind: PromiseKind, #[case] planted: Vec<Observation>) {
-    let mut observations = right();
-    observations.extend(planted);
+#[case::old_configuration(PromiseKind::Recovery, vec![recovered(&[], 4)])]
+#[case::process_ended(PromiseKind::Recovery, vec![Observation::EndedByItself { process: "g#1".into() }])]
+fn an_injected_violation_is_found(#[case] kind: PromiseKind, #[case] injected: Vec<Observation>) {
+    let mut observations = valid_run();
+    observations.extend(injected);
     let kinds: Vec<PromiseKind> = check(&observations).iter().map(|broken| broken.kind).collect();
     assert_eq!(kinds, [kind]);
 }
