--- a/crates/lab/src/outcome.rs
+++ b/crates/lab/src/outcome.rs
@@ -15,7 +15,7 @@
     pub late_place_free: u64,
     /// Late requests that had first failed at another target.
     pub late_target_failed: u64,
-    /// Online requests rejected with a retry hint, or given up after the last attempt.
+    /// Online requests rejected because no target could serve them in time, or given up after the last attempt.
     pub refused: u64,
     /// Slot requests sent to home gateways.
     pub asks: u64,
--- a/crates/lab/src/simulation.rs
+++ b/crates/lab/src/simulation.rs
@@ -404,7 +404,7 @@
             Admission::Runs => self.begin_run(number),
             Admission::Waits => {}
             Admission::Refused => {
-                let failure = match self.targets[run.target].is_lost() {
+                let failure = match self.targets[run.target].is_failed() {
                     true => AttemptFailure::ConnectFailed,
                     false => AttemptFailure::RefusedNotRun,
                 };
--- a/crates/lab/src/simulation/items.rs
+++ b/crates/lab/src/simulation/items.rs
@@ -74,15 +74,15 @@
         if self.policy == SelectionPolicy::Oracle {
             return;
         }
-        let mut counts: FastMap<usize, Vec<RunNumber>> = FastMap::default();
+        let mut by_target: FastMap<usize, Vec<RunNumber>> = FastMap::default();
         for (number, run) in &self.runs {
             if run.gateway == gateway && run.is_preemptible() {
-                counts.entry(run.target).or_default().push(*number);
+                by_target.entry(run.target).or_default().push(*number);
             }
         }
-        let mut counts: Vec<(usize, Vec<RunNumber>)> = counts.into_iter().collect();
-        counts.sort_unstable();
-        for (target, mut runs) in counts {
+        let mut by_target: Vec<(usize, Vec<RunNumber>)> = by_target.into_iter().collect();
+        by_target.sort_unstable();
+        for (target, mut runs) in by_target {
             let random = &mut self.random;
             let table = &self.gateways[gateway].table;
             let count = table.items_to_preempt(&self.target_ids[target], || random.random());
--- a/crates/lab/src/simulation/online.rs
+++ b/crates/lab/src/simulation/online.rs
@@ -47,14 +47,14 @@
             return self.search_slot(request);
         }
         let (now, queue) = (self.now(), QueueLimit::Within(self.pattern.objective));
-        let asking = &self.requests[request];
-        let query = online_query(asking, queue);
+        let state = &self.requests[request];
+        let query = online_query(state, queue);
         let random = &mut self.random;
-        let table = &mut self.gateways[asking.gateway].table;
+        let table = &mut self.gateways[state.gateway].table;
         match table.choose(&query, now, || random.random()) {
             Some(choice) => {
                 if !choice.place_free {
-                    self.preempt_own_item(asking.gateway, &choice.id);
+                    self.preempt_own_item(state.gateway, &choice.id);
                 }
                 self.send_to_target(request, &choice);
             }
@@ -105,9 +105,9 @@
         may_displace: bool,
     ) {
         let now = self.now();
-        let asking = &self.requests[request];
-        let peer = self.gateways[asking.gateway].vm.clone();
-        let query = online_query(asking, QueueLimit::Any);
+        let state = &self.requests[request];
+        let peer = self.gateways[state.gateway].vm.clone();
+        let query = online_query(state, QueueLimit::Any);
         let grant = self.gateways[home].table.grant(&peer, &query, may_displace, now);
         if let Some(PlaceGrant { id, yields: Some(yields) }) = &grant {
             self.revoke_slot(home, id, yields);
@@ -156,16 +156,16 @@
             return;
         }
         let (now, vm) = (self.now(), self.gateways[home].vm.clone());
-        let asking = &mut self.requests[request];
-        asking.pending_request = 0;
-        asking.search.note_silent(&mut self.gateways[asking.gateway].table, &vm, now);
+        let state = &mut self.requests[request];
+        state.pending_request = 0;
+        state.search.note_silent(&mut self.gateways[state.gateway].table, &vm, now);
         self.attempt(request);
     }
 
     fn note_denied(&mut self, request: usize, home: usize, offer: Option<QueueOffer>) {
         let (now, vm) = (self.now(), self.gateways[home].vm.clone());
-        let asking = &mut self.requests[request];
-        asking.search.note_denied(&mut self.gateways[asking.gateway].table, &vm, offer, now);
+        let state = &mut self.requests[request];
+        state.search.note_denied(&mut self.gateways[state.gateway].table, &vm, offer, now);
         self.attempt(request);
     }
 
@@ -182,7 +182,7 @@
     /// Selects with full knowledge of all targets: a free slot if there is one, else an item's slot, else the
     /// shortest queue.
     fn attempt_as_oracle(&mut self, request: usize) {
-        let alive = (0..self.targets.len()).filter(|n| !self.targets[*n].is_lost());
+        let alive = (0..self.targets.len()).filter(|n| !self.targets[*n].is_failed());
         let best = alive.min_by_key(|n| {
             let target = &self.targets[*n];
             let waiting = target.waiting() + self.in_transit[*n];
--- a/crates/lab/src/target.rs
+++ b/crates/lab/src/target.rs
@@ -25,7 +25,7 @@
     slowdown: f64,
     running: Vec<RunNumber>,
     waiting: VecDeque<RunNumber>,
-    is_lost: bool,
+    is_failed: bool,
 }
 
 /// How a target admits an arriving request.
@@ -44,12 +44,12 @@
     pub fn new(slots: u32, queue: u32, slowdown: f64) -> Self {
         let (slots, queue) = (slots as usize, queue as usize);
         let (running, waiting) = (Vec::new(), VecDeque::new());
-        Self { slots, queue, slowdown, running, waiting, is_lost: false }
+        Self { slots, queue, slowdown, running, waiting, is_failed: false }
     }
 
     /// Admits an arriving request to a slot or the queue, or refuses it.
     pub fn admit(&mut self, run: RunNumber) -> Admission {
-        if self.is_lost || self.waiting.len() >= self.queue {
+        if self.is_failed || self.waiting.len() >= self.queue {
             return Admission::Refused;
         }
         if self.running.len() < self.slots {
@@ -72,7 +72,7 @@
 
     /// Marks the target as failed and returns the requests that it held.
     pub fn fail(&mut self) -> Vec<RunNumber> {
-        self.is_lost = true;
+        self.is_failed = true;
         let mut lost = std::mem::take(&mut self.running);
         lost.extend(std::mem::take(&mut self.waiting));
         lost
@@ -80,7 +80,7 @@
 
     /// Number of free slots.
     pub fn free(&self) -> usize {
-        if self.is_lost { 0 } else { self.slots - self.running.len() }
+        if self.is_failed { 0 } else { self.slots - self.running.len() }
     }
 
     /// The running requests.
@@ -94,8 +94,8 @@
     }
 
     /// Whether the target has failed.
-    pub fn is_lost(&self) -> bool {
-        self.is_lost
+    pub fn is_failed(&self) -> bool {
+        self.is_failed
     }
 
     /// Time from taking a slot to the first event.
--- a/crates/losses/src/jobs.rs
+++ b/crates/losses/src/jobs.rs
@@ -10,7 +10,7 @@
     line::LogLine,
 };
 
-/// Rounding error of logged times: durations are whole milliseconds.
+/// Rounding error of the logged durations, which are whole milliseconds.
 const ROUNDING_SECONDS: f64 = 0.001;
 
 /// History of one job.
