--- a/crates/lab/src/policy.rs
+++ b/crates/lab/src/policy.rs
@@ -1,32 +1,35 @@
-//! Ways to choose a target that are compared.
+//! The target selection policies that the simulator compares.
 
 use std::{fmt, str::FromStr};
 
-/// How gateways choose targets.
+/// How gateways select targets for requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PlacePolicy {
-    /// By reports of the others' use alone.
-    Reports,
-    /// Places at another gateway's targets are asked for, as shipped.
-    Homes,
-    /// One that sees every target as it is at each moment.
-    AllKnowing,
+pub enum SelectionPolicy {
+    /// Uses only the periodic usage reports of the other gateways.
+    UsageReports,
+    /// Requests slots from the home gateways of other targets. This is the production behaviour.
+    HomeGateways,
+    /// Sees the current state of every target without delay: a baseline that no real gateway can reach.
+    Oracle,
 }
 
-impl PlacePolicy {
-    /// Each policy with its name on the command line.
-    pub const ALL: [(&'static str, Self); 3] =
-        [("reports", Self::Reports), ("homes", Self::Homes), ("all-knowing", Self::AllKnowing)];
+impl SelectionPolicy {
+    /// Every policy with its command-line name.
+    pub const ALL: [(&'static str, Self); 3] = [
+        ("reports", Self::UsageReports),
+        ("homes", Self::HomeGateways),
+        ("all-knowing", Self::Oracle),
+    ];
 }
 
-impl fmt::Display for PlacePolicy {
+impl fmt::Display for SelectionPolicy {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let named = Self::ALL.iter().find(|(_, policy)| policy == self);
         f.write_str(named.map_or("", |(name, _)| name))
     }
 }
 
-impl FromStr for PlacePolicy {
+impl FromStr for SelectionPolicy {
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
