--- a/crates/entry/src/constants.rs
+++ b/crates/entry/src/constants.rs
@@ -121,21 +121,21 @@
 pub const STORE_PAUSE: Duration = Duration::from_millis(400);
 /// The store must have been unreachable this long before calls are forwarded to another gateway. A lost
 /// answer or two don't justify that, and clients allow 4 s for a job to be accepted.
-pub const DETOUR_AFTER: Duration = Duration::from_millis(250);
+pub const FORWARD_AFTER: Duration = Duration::from_millis(250);
 /// Interval between direct store calls while all others are forwarded to another gateway. An unanswered direct
 /// call takes half a second; the first answered one ends the forwarding.
-pub const DETOUR_PROBE_INTERVAL: Duration = Duration::from_secs(3);
+pub const FORWARD_PROBE_INTERVAL: Duration = Duration::from_secs(3);
 /// Pause after another gateway could not reach the store either: it is probably down for all.
-pub const DETOUR_PAUSE: Duration = Duration::from_millis(1_000);
+pub const FORWARD_PAUSE: Duration = Duration::from_millis(1_000);
 /// Minimum interval between store reads of a job without an owner on behalf of a long-polling client.
 pub const UNOWNED_JOB_READ_INTERVAL: Duration = Duration::from_millis(2_000);
 /// Time beyond a watch's own wait after which its connection is considered dead.
 pub const WATCH_GRACE: Duration = Duration::from_millis(700);
 /// How long target entries that expired in a store outage are kept after it: live targets have renewed
 /// theirs within two seconds.
-pub const LAPSE_GRACE: Duration = Duration::from_millis(2_200);
+pub const EXPIRED_ENTRY_GRACE: Duration = Duration::from_millis(2_200);
 /// Minimum length of a store outage in which entries may have expired: three heartbeats of a target.
-pub const LAPSE_OUTAGE: Duration = Duration::from_millis(1_000);
+pub const MIN_EXPIRY_OUTAGE: Duration = Duration::from_millis(1_000);
 /// Maximum size of an object that is written to the store, which accepts 1 MiB.
 pub const OBJECT_BYTES: usize = 900 << 10;
 /// Maximum size of the results in one response; clients accept 1 MB.
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -276,7 +276,7 @@
     /// Applies an event of the store's target feed.
     pub fn apply_target_event(&self, event: FeedEvent<'_>) {
         let now = self.clock.mono();
-        let lapsed_until = self.store.outage().lapsed_until();
+        let expiry_grace_until = self.store.outage().expiry_grace_until();
         let mut feed = self.target_feed();
         let changes = match event {
             FeedEvent::Snapshot { objects, as_of, .. } => {
@@ -288,7 +288,7 @@
                         Err(error) => changes.extend(self.refuse_target(&mut feed, object, &error)),
                     }
                 }
-                changes.extend(feed.apply_list(entries, as_of, lapsed_until, now));
+                changes.extend(feed.apply_list(entries, as_of, expiry_grace_until, now));
                 changes
             }
             FeedEvent::Changed { object } => {
@@ -300,7 +300,7 @@
             }
             FeedEvent::Deleted { object, as_of } => {
                 let id = &object.metadata.name;
-                feed.remove(id, as_of, lapsed_until, now).into_iter().collect()
+                feed.remove(id, as_of, expiry_grace_until, now).into_iter().collect()
             }
         };
         let revision = feed.revision();
--- a/crates/entry/src/store/forwarding.rs
+++ b/crates/entry/src/store/forwarding.rs
@@ -10,7 +10,7 @@
 use notch_types::prelude::*;
 
 use crate::{
-    constants::{DETOUR_AFTER, DETOUR_PAUSE, DETOUR_PROBE_INTERVAL},
+    constants::{FORWARD_AFTER, FORWARD_PAUSE, FORWARD_PROBE_INTERVAL},
     store::reply::{StoreFailure, StoreReply},
 };
 
@@ -53,13 +53,13 @@
     /// How a call at `now` is routed. `down_since` is when the store stopped answering directly.
     pub fn way(&mut self, down_since: Option<MonoTime>, now: MonoTime) -> CallRouting {
         let Some(since) = down_since else { return CallRouting::Direct };
-        if now.since(since) < DETOUR_AFTER || now < self.unavailable_until {
+        if now.since(since) < FORWARD_AFTER || now < self.unavailable_until {
             return CallRouting::Direct;
         }
         // Only a direct call shows soon that the store answers again: a watch may wait for half a
         // minute.
         if now >= self.direct_at {
-            self.direct_at = now + DETOUR_PROBE_INTERVAL;
+            self.direct_at = now + FORWARD_PROBE_INTERVAL;
             return CallRouting::DirectFirst;
         }
         CallRouting::Forwarded
@@ -68,7 +68,7 @@
     /// Records that another gateway was asked at `now`, and whether that helped.
     pub fn note_end(&mut self, was_answered: bool, now: MonoTime) {
         if !was_answered {
-            self.unavailable_until = now + DETOUR_PAUSE;
+            self.unavailable_until = now + FORWARD_PAUSE;
         }
     }
 }
--- a/crates/entry/src/store/outage.rs
+++ b/crates/entry/src/store/outage.rs
@@ -2,15 +2,15 @@
 
 use notch_types::prelude::*;
 
-use crate::constants::{LAPSE_GRACE, LAPSE_OUTAGE};
+use crate::constants::{EXPIRED_ENTRY_GRACE, MIN_EXPIRY_OUTAGE};
 
 /// Whether the store answers, and when it last recovered.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct StoreOutage {
     /// When calls began to fail; `None` while the store answers.
     down_since: Option<MonoTime>,
-    /// Until when a missing entry may have lapsed only because of an outage.
-    lapsed_until: MonoTime,
+    /// Until when a missing entry may have expired only because of an outage.
+    expiry_grace_until: MonoTime,
 }
 
 /// A change of the store's state, to be logged.
@@ -26,8 +26,8 @@
     /// Records that a call was answered.
     pub fn note_answer(&mut self, now: MonoTime) -> Option<OutageChange> {
         let since = self.down_since.take()?;
-        if now.since(since) >= LAPSE_OUTAGE {
-            self.lapsed_until = now + LAPSE_GRACE;
+        if now.since(since) >= MIN_EXPIRY_OUTAGE {
+            self.expiry_grace_until = now + EXPIRED_ENTRY_GRACE;
         }
         Some(OutageChange::Regained)
     }
@@ -51,8 +51,8 @@
         self.down_since
     }
 
-    /// Until when a missing entry may have lapsed only because of an outage.
-    pub fn lapsed_until(&self) -> MonoTime {
-        self.lapsed_until
+    /// Until when a missing entry may have expired only because of an outage.
+    pub fn expiry_grace_until(&self) -> MonoTime {
+        self.expiry_grace_until
     }
 }
--- a/crates/entry/src/store/target.rs
+++ b/crates/entry/src/store/target.rs
@@ -177,14 +177,14 @@
         (received != Some(revision), change)
     }
 
-    /// Removes an entry that was gone at `as_of`. Before `lapsed_until`, entries may only have
-    /// lapsed because of an outage of the store: a ready target stays in use, and registers again
-    /// if it is alive.
+    /// Removes an entry that was gone at `as_of`. Before `expiry_grace_until`, entries may only
+    /// have expired because of an outage of the store: a ready target stays in use, and registers
+    /// again if it is alive.
     pub fn remove(
         &mut self,
         name: &str,
         as_of: u64,
-        lapsed_until: MonoTime,
+        expiry_grace_until: MonoTime,
         now: MonoTime,
     ) -> Option<TargetChange> {
         let known = self.known.get_mut(name)?;
@@ -192,11 +192,11 @@
             return None;
         }
         let entry = known.entry.as_ref()?;
-        if now < lapsed_until && entry.state == TargetState::Ready {
+        if now < expiry_grace_until && entry.state == TargetState::Ready {
             // The entry keeps its revision. Passed on with a newer one, it would bring the target
             // back on gateways that know it has left.
-            let lapse = LapsingEntry { until: lapsed_until, as_of };
-            self.lapsing.entry(name.to_owned()).or_insert(lapse);
+            let missing = LapsingEntry { until: expiry_grace_until, as_of };
+            self.lapsing.entry(name.to_owned()).or_insert(missing);
             return None;
         }
         let (id, born) = (entry.id.clone(), known.born);
@@ -213,7 +213,7 @@
         &mut self,
         entries: Vec<(TargetEntry, u64)>,
         as_of: u64,
-        lapsed_until: MonoTime,
+        expiry_grace_until: MonoTime,
         now: MonoTime,
     ) -> Vec<TargetChange> {
         if !self.is_whole {
@@ -226,7 +226,7 @@
         let missing: Vec<String> =
             self.known.keys().filter(|name| !listed.contains(*name)).cloned().collect();
         for name in missing {
-            changes.extend(self.remove(&name, as_of, lapsed_until, now));
+            changes.extend(self.remove(&name, as_of, expiry_grace_until, now));
         }
         // Other gateways may know more about an entry that is missing here after an outage.
         if self.lapsing.is_empty() {
@@ -237,9 +237,9 @@
 
     /// Removes missing entries whose grace period after an outage is over.
     pub fn expire(&mut self, now: MonoTime) -> Vec<TargetChange> {
-        let over = self.lapsing.iter().filter(|(_, lapse)| lapse.until <= now);
+        let over = self.lapsing.iter().filter(|(_, missing)| missing.until <= now);
         let over: Vec<(String, u64)> =
-            over.map(|(name, lapse)| (name.clone(), lapse.as_of)).collect();
+            over.map(|(name, missing)| (name.clone(), missing.as_of)).collect();
         let gone = over
             .into_iter()
             .filter_map(|(name, as_of)| self.remove(&name, as_of, MonoTime::default(), now));
@@ -296,8 +296,8 @@
             .map(|received| (received.entry, received.revision))
             .collect();
         if complete.since == 0 {
-            // A gateway that waits for lapsed entries includes them in its list, so one that is not
-            // listed has left.
+            // A gateway that waits for expired entries includes them in its list, so one that is
+            // not listed has left.
             return self.apply_list(entries, complete.as_of, MonoTime::default(), now);
         }
         let gone = complete.gone.into_iter().filter(|gone| !self.is_later_start_known(gone));
--- a/crates/entry/tests/target_feed.rs
+++ b/crates/entry/tests/target_feed.rs
@@ -8,8 +8,8 @@
 use notch_types::prelude::*;
 
 const NOW: MonoTime = MonoTime(1_000_000);
-const NO_LAPSE: MonoTime = MonoTime(0);
-const LAPSE_END: MonoTime = MonoTime(3_000_000);
+const NO_GRACE: MonoTime = MonoTime(0);
+const GRACE_END: MonoTime = MonoTime(3_000_000);
 
 fn entry(id: &str) -> TargetEntry {
     TargetEntry {
@@ -36,7 +36,7 @@
 
 fn whole_feed() -> TargetFeed {
     let mut feed = TargetFeed::default();
-    feed.apply_list(Vec::new(), 1, NO_LAPSE, NOW);
+    feed.apply_list(Vec::new(), 1, NO_GRACE, NOW);
     feed
 }
 
@@ -44,7 +44,7 @@
 fn an_outdated_entry_changes_nothing() {
     let mut feed = TargetFeed::default();
     feed.put(entry("t1"), 5);
-    let removed = feed.remove("t1", 9, NO_LAPSE, NOW);
+    let removed = feed.remove("t1", 9, NO_GRACE, NOW);
     assert_eq!(removed, Some(TargetChange::Remove("t1".to_owned())));
     assert_eq!(feed.put(entry("t1"), 7), None, "the target had left by then");
     assert!(feed.put(entry("t1"), 11).is_some(), "the target registered again");
@@ -67,9 +67,9 @@
     assert_eq!(feed.put(started(2_000), 9), Some(restart));
     assert_eq!(feed.put(started(1_000), 7), None, "an outdated write");
     assert_eq!(feed.put(started(1_000), 12), None, "a delayed write by the earlier start");
-    assert_eq!(feed.apply_list(vec![(started(1_000), 12)], 14, NO_LAPSE, NOW), []);
+    assert_eq!(feed.apply_list(vec![(started(1_000), 12)], 14, NO_GRACE, NOW), []);
     assert_eq!(all_entries(&feed).iter().map(|t| t.entry.born).collect::<Vec<_>>(), [2_000]);
-    let gone = feed.remove("t1", 20, NO_LAPSE, NOW);
+    let gone = feed.remove("t1", 20, NO_GRACE, NOW);
     assert_eq!(gone, Some(TargetChange::Remove("t1#2000".to_owned())));
     assert_eq!(feed.put(started(1_000), 25), None, "not even after the later start has left");
     assert_eq!(feed.put(started(2_000), 26), Some(TargetChange::Put(started(2_000))));
@@ -106,7 +106,7 @@
 fn an_entry_missing_from_a_list_is_removed() {
     let mut feed = TargetFeed::default();
     feed.put(entry("t1"), 5);
-    let changes = feed.apply_list(vec![(entry("t2"), 6)], 8, NO_LAPSE, NOW);
+    let changes = feed.apply_list(vec![(entry("t2"), 6)], 8, NO_GRACE, NOW);
     let expected = [TargetChange::Put(entry("t2")), TargetChange::Remove("t1".to_owned())];
     assert_eq!(changes, expected);
     assert!(feed.is_whole());
@@ -116,14 +116,14 @@
 fn a_lapsed_entry_is_kept_until_its_grace_period_ends() {
     let mut feed = TargetFeed::default();
     feed.put(entry("t1"), 5);
-    assert_eq!(feed.apply_list(Vec::new(), 8, LAPSE_END, NOW), []);
+    assert_eq!(feed.apply_list(Vec::new(), 8, GRACE_END, NOW), []);
     assert_eq!(feed.expire(NOW), []);
-    assert_eq!(feed.expire(LAPSE_END), [TargetChange::Remove("t1".to_owned())]);
+    assert_eq!(feed.expire(GRACE_END), [TargetChange::Remove("t1".to_owned())]);
 }
 
 /// Guards against requests to a target seconds after it left. One gateway is cut off from the
 /// store; a target leaves, and the other gateways drop it; the gateway reaches the store again,
-/// keeps the missing entry as possibly lapsed, and sends the others what it knows. The kept entry
+/// keeps the missing entry as possibly expired, and sends the others what it knows. The kept entry
 /// was given the revision of the list, which is newer than the removal known to the others.
 #[test]
 fn a_lapsing_entry_does_not_return_at_gateways_that_know_it_left() {
@@ -131,8 +131,8 @@
     let mut in_touch = whole_feed();
     cut_off.put(entry("t1"), 7);
     in_touch.put(entry("t1"), 7);
-    in_touch.remove("t1", 86, NO_LAPSE, NOW);
-    cut_off.apply_list(Vec::new(), 89, LAPSE_END, NOW);
+    in_touch.remove("t1", 86, NO_GRACE, NOW);
+    cut_off.apply_list(Vec::new(), 89, GRACE_END, NOW);
     let messages = cut_off.changes_since(in_touch.known_since());
     assert_eq!(apply_all(&mut in_touch, messages), []);
     assert_eq!(
--- a/crates/entry/tests/target_propagation.rs
+++ b/crates/entry/tests/target_propagation.rs
@@ -14,7 +14,7 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-const NO_LAPSE: MonoTime = MonoTime(0);
+const NO_GRACE: MonoTime = MonoTime(0);
 const GATEWAYS: usize = 300;
 const TARGETS: u64 = 3_000;
 
@@ -36,7 +36,7 @@
 fn filled_feed(targets: u64) -> TargetFeed {
     let mut feed = TargetFeed::default();
     let entries = (0..targets).map(|number| (entry(number, TargetState::Ready), number + 1));
-    feed.apply_list(entries.collect(), targets, NO_LAPSE, MonoTime(0));
+    feed.apply_list(entries.collect(), targets, NO_GRACE, MonoTime(0));
     feed
 }
 
@@ -92,7 +92,7 @@
 #[test]
 fn a_whole_list_without_changes_brings_a_gateway_up_to_date() {
     let mut sender = filled_feed(10);
-    sender.remove(&entry(3, TargetState::Ready).name, 40, NO_LAPSE, MonoTime(0));
+    sender.remove(&entry(3, TargetState::Ready).name, 40, NO_GRACE, MonoTime(0));
     let mut receiver = TargetFeed::default();
     for part in sender.changes_since(0) {
         receiver.apply_changes(part, MonoTime(0));
@@ -106,7 +106,7 @@
     let (mut source, mut middle, mut last) = (filled_feed(10), filled_feed(10), filled_feed(10));
     source.put(entry(50, TargetState::Ready), 20);
     last.put(entry(50, TargetState::Ready), 20);
-    source.remove(&entry(50, TargetState::Ready).name, 30, NO_LAPSE, MonoTime(0));
+    source.remove(&entry(50, TargetState::Ready).name, 30, NO_GRACE, MonoTime(0));
     for part in source.changes_since(middle.known_since()) {
         middle.apply_changes(part, MonoTime(0));
     }
@@ -238,7 +238,7 @@
                 }
                 PropagationStep::Remove(target) => {
                     let name = entry(target, TargetState::Ready).name;
-                    feeds[0].remove(&name, revision, NO_LAPSE, MonoTime(0));
+                    feeds[0].remove(&name, revision, NO_GRACE, MonoTime(0));
                 }
                 PropagationStep::Push { to, copies } => {
                     let parts = feeds[0].changes_since(since);
