--- a/crates/entry/src/batch/deadline_admission.rs
+++ b/crates/entry/src/batch/deadline_admission.rs
@@ -45,13 +45,13 @@
     let works = registry.works(now);
     route.parts().find_map(|(service, part)| {
         let own = local_demand(node, &works, service);
-        let mut intake = node.intake();
-        let demand = WorkDemand::joined(intake.demands(service).chain([&own]));
-        let places = intake.mean_free_slots(service) * capacity_share(node, now);
+        let mut admission = node.job_admission();
+        let demand = WorkDemand::joined(admission.demands(service).chain([&own]));
+        let places = admission.mean_free_slots(service) * capacity_share(node, now);
         let job = DueWork { work: job.work.mul_f64(part), ..job };
         let wait = JobAdmissionForecast { demand: &demand, slots: places }.refusal(job, now)?;
         // One line per refusal would be thousands a second.
-        if intake.may_log(now) {
+        if admission.may_log(now) {
             node.log.info(
                 "jobs_without_time",
                 &[
@@ -62,7 +62,7 @@
                     ("places", &format_args!("{places:.1}")),
                     ("waiting_here_ms", &own.total().as_millis()),
                     ("waiting_ms", &demand.total().as_millis()),
-                    ("oldest_word_ms", &intake.oldest_report_age(now).as_millis()),
+                    ("oldest_word_ms", &admission.oldest_report_age(now).as_millis()),
                     ("wait_ms", &wait.as_millis()),
                 ],
             );
--- a/crates/entry/src/batch/intake.rs
+++ b/crates/entry/src/batch/intake.rs
@@ -19,7 +19,7 @@
         records::{create_job, inline_items, part_count, read_end, read_job},
     },
     constants::{
-        INTAKE_TIMEOUT, JOB_BYTES, JOB_STORING_NOTICE_DELAY, RETRY_AFTER, RETRY_AFTER_START,
+        JOB_BYTES, JOB_STORING_NOTICE_DELAY, JOB_STORING_TIMEOUT, RETRY_AFTER, RETRY_AFTER_START,
         STORE_PAUSE,
     },
     front::answer::OwnAnswer,
@@ -36,7 +36,7 @@
 
 /// Outcome of storing a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum IntakeOutcome {
+enum StoringOutcome {
     /// The job is stored and owned by this gateway.
     Owned,
     /// The job was stored before.
@@ -110,9 +110,9 @@
     }
     let (outcome, answered) = match store_within_deadline(node, spec, record, text.to_owned()).await
     {
-        Some(IntakeOutcome::Owned) => ("accepted", OwnAnswer::of(202)),
-        Some(IntakeOutcome::Known) => ("known", OwnAnswer::of(202)),
-        Some(IntakeOutcome::NotStored) => ("store_unavailable", OwnAnswer::refused(RETRY_AFTER)),
+        Some(StoringOutcome::Owned) => ("accepted", OwnAnswer::of(202)),
+        Some(StoringOutcome::Known) => ("known", OwnAnswer::of(202)),
+        Some(StoringOutcome::NotStored) => ("store_unavailable", OwnAnswer::refused(RETRY_AFTER)),
         // Not a refusal: the job may be stored.
         None => ("store_unclear", OwnAnswer::of(504)),
     };
@@ -139,7 +139,7 @@
     spec: Arc<JobSpec>,
     record: JobRecord,
     text: String,
-) -> Option<IntakeOutcome> {
+) -> Option<StoringOutcome> {
     let shared = Arc::clone(node);
     let id = spec.id.clone();
     let mut storing = task::spawn(async move {
@@ -153,7 +153,7 @@
     }
     // The client may submit the job again to a gateway that would refuse it.
     node.peers.broadcast(&PeerMessage::JobStoring(id));
-    timeout(INTAKE_TIMEOUT - JOB_STORING_NOTICE_DELAY, storing).await.ok()
+    timeout(JOB_STORING_TIMEOUT - JOB_STORING_NOTICE_DELAY, storing).await.ok()
 }
 
 /// Refuses a job, unless another gateway accepted it before without this one having heard of it.
@@ -186,7 +186,7 @@
             if registry.is_known(id) {
                 return true;
             }
-            let is_over = node.clock.mono().since(arrived) >= INTAKE_TIMEOUT;
+            let is_over = node.clock.mono().since(arrived) >= JOB_STORING_TIMEOUT;
             if !registry.is_busy(id) || is_over {
                 return false;
             }
@@ -226,7 +226,7 @@
     spec: Arc<JobSpec>,
     record: JobRecord,
     text: String,
-) -> IntakeOutcome {
+) -> StoringOutcome {
     let mut was_unclear = false;
     // The write itself makes this gateway the owner. Another one may have taken the job over by the
     // time the answer is read.
@@ -235,15 +235,15 @@
         match create_job(&node.store, &spec.id, &record, &text).await {
             Ok(true) => {
                 own_job(&node, spec, asked);
-                return IntakeOutcome::Owned;
+                return StoringOutcome::Owned;
             }
             Ok(false) if was_unclear => {
                 // Probably this gateway's own write whose answer was lost; the stored record shows
                 // it.
                 return resolve_unclear_write(&node, spec, &record).await;
             }
-            Ok(false) => return IntakeOutcome::Known,
-            Err(StoreFailure::NotDone) if !was_unclear => return IntakeOutcome::NotStored,
+            Ok(false) => return StoringOutcome::Known,
+            Err(StoreFailure::NotDone) if !was_unclear => return StoringOutcome::NotStored,
             Err(StoreFailure::NotDone | StoreFailure::Unknown) => {
                 was_unclear = true;
                 task::sleep(jittered(STORE_PAUSE)).await;
@@ -258,14 +258,14 @@
     node: &Arc<EntryNode>,
     spec: Arc<JobSpec>,
     record: &JobRecord,
-) -> IntakeOutcome {
+) -> StoringOutcome {
     let asked = node.jobs().table.ownership_generation();
     let stored =
         until_answered(|| true, || read_job(&node.store, &spec.id, StoreCallCause::JobStored))
             .await
             .flatten();
     if stored.is_none_or(|stored| stored.owner() != record.owner) {
-        return IntakeOutcome::Known;
+        return StoringOutcome::Known;
     }
     // It may have been accepted and ended elsewhere while the answer was lost.
     let is_ended =
@@ -274,7 +274,7 @@
     if is_ended == Some(false) {
         own_job(node, spec, asked);
     }
-    IntakeOutcome::Owned
+    StoringOutcome::Owned
 }
 
 /// Starts to run a job that the store shows as owned by this gateway. `asked` is the ownership
@@ -295,7 +295,7 @@
         is_claimed
     };
     if is_claimed {
-        ownership::doubt(node, &id, "claimed");
+        ownership::invalidate(node, &id, "claimed");
     }
     node.peers.broadcast(&PeerMessage::JobsOwned(vec![id.clone()]));
     node.runner_wake.notify(usize::MAX);
--- a/crates/entry/src/batch/limits.rs
+++ b/crates/entry/src/batch/limits.rs
@@ -21,7 +21,9 @@
         job_registry::JobRegistry,
         share_reclaim::{ReclaimedShares, reclaim_in_turn},
     },
-    constants::{LIMIT_DECISION_TIMEOUT, LIMIT_SHARE_ATTEMPTS, LIMIT_STORE_TIMEOUT, ROOM_TICK},
+    constants::{
+        CAPACITY_CHECK_INTERVAL, LIMIT_DECISION_TIMEOUT, LIMIT_SHARE_ATTEMPTS, LIMIT_STORE_TIMEOUT,
+    },
     node::EntryNode,
     store::{
         call_cause::StoreCallCause,
@@ -126,8 +128,8 @@
     arrived: MonoTime,
 ) -> Option<Duration> {
     let counts = node.limits.counts();
-    let pace = counts.get(&limit.name)?;
-    pace.refusal(tokens, limit.tokens, arrived, node.clock.mono())
+    let throttle = counts.get(&limit.name)?;
+    throttle.refusal(tokens, limit.tokens, arrived, node.clock.mono())
 }
 
 /// Counts the job if it fits in this gateway's share. Returns whether it does, and how much is
@@ -141,11 +143,11 @@
     let is_in_touch = node.peers.hears_all_peers(node.clock.mono());
     with_holder(node, &limit.name, |holder, registry| {
         let used = registry.limit_tokens(&limit.name);
-        let room = holder.availability(used, tokens, limit.tokens, is_in_touch);
-        if room == ShareAvailability::Held {
+        let availability = holder.availability(used, tokens, limit.tokens, is_in_touch);
+        if availability == ShareAvailability::Held {
             registry.reserve(job, &limit.name, tokens);
         }
-        room
+        availability
     })
 }
 
@@ -231,7 +233,7 @@
     loop {
         let listener = node.limits.used.listen();
         // Either an event or the timeout leads to another pass.
-        let _ = timeout(ROOM_TICK, listener).await;
+        let _ = timeout(CAPACITY_CHECK_INTERVAL, listener).await;
         let now = node.clock.mono();
         let is_able = node.store.outage().is_up() && node.peers.hears_all_peers(now);
         if !is_able || node.stop.is_stopping() {
--- a/crates/entry/src/batch/ownership.rs
+++ b/crates/entry/src/batch/ownership.rs
@@ -38,7 +38,7 @@
 /// The store is asked about a job when a reader needs it. Only if this gateway itself was cut off
 /// from most others are all jobs checked at once, as it may be running items that other gateways
 /// run too.
-pub fn doubt_all(node: &Arc<EntryNode>, cause: &'static str, silence: PeerSilence) {
+pub fn invalidate_all(node: &Arc<EntryNode>, cause: &'static str, silence: PeerSilence) {
     let mut registry = node.jobs();
     registry.table.invalidate_all_ownership();
     let jobs = registry.open_owned().len();
@@ -54,7 +54,7 @@
 }
 
 /// Invalidates the ownership of one job, and checks it in the store at once.
-pub fn doubt(node: &Arc<EntryNode>, job: &str, cause: &'static str) {
+pub fn invalidate(node: &Arc<EntryNode>, job: &str, cause: &'static str) {
     node.jobs().table.invalidate_ownership(job);
     node.log.info("ownership_doubted", &[("job", &job), ("cause", &cause)]);
     let (node, job) = (Arc::clone(node), job.to_owned());
--- a/crates/entry/src/batch/reads.rs
+++ b/crates/entry/src/batch/reads.rs
@@ -333,7 +333,7 @@
             ReadState::NothingNew { total, held } if after > held => {
                 // Readers were shown more results than are known here, so another gateway extends
                 // the list.
-                ownership::doubt(node, job, "asked_beyond");
+                ownership::invalidate(node, job, "asked_beyond");
                 break KnownResults { total, lines: Vec::new(), is_sure: false, ends_object: true };
             }
             ReadState::NothingNew { total, .. } if left.is_zero() => {
--- a/crates/entry/src/batch/takeover.rs
+++ b/crates/entry/src/batch/takeover.rs
@@ -80,7 +80,7 @@
             // answer. No other gateway will take the job over.
             OwnerLiveness::Alive if owner == node.owner => {}
             OwnerLiveness::Alive => continue,
-            OwnerLiveness::Doubtful => {
+            OwnerLiveness::Suspect => {
                 left += 1;
                 continue;
             }
--- a/crates/entry/src/constants.rs
+++ b/crates/entry/src/constants.rs
@@ -165,12 +165,12 @@
 pub const LIMIT_PEER_TIMEOUT: Duration = Duration::from_millis(150);
 /// Interval at which the capacity left under limits is checked for the next jobs, in addition to after
 /// each job.
-pub const ROOM_TICK: Duration = Duration::from_millis(1_000);
+pub const CAPACITY_CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
 /// A gateway that has been gone this long loses its shares of limits. It accepts no more jobs on them, and
 /// those it sent to the store before have been stored or rejected by then.
 pub const SHARE_HOLDER_TIMEOUT: Duration = Duration::from_secs(5);
 /// Timeout of storing a job; after it the client is told that the outcome is unknown.
-pub const INTAKE_TIMEOUT: Duration = Duration::from_millis(2_500);
+pub const JOB_STORING_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Maximum total size of the open jobs that a gateway holds; more are refused.
 pub const JOB_BYTES: usize = 24 << 20;
 /// Maximum total size of cached results of closed jobs and of jobs that other gateways own.
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -88,9 +88,9 @@
     target_feed: Mutex<TargetFeed>,
     jobs: Mutex<JobRegistry>,
     crashes: Mutex<CrashTable>,
-    patience: Mutex<RetryDetector>,
+    retry_detector: Mutex<RetryDetector>,
     dropped_routes: Mutex<DroppedRoutes>,
-    intake: Mutex<JobAdmissionTable>,
+    job_admission: Mutex<JobAdmissionTable>,
 }
 
 impl EntryNode {
@@ -133,9 +133,9 @@
             target_feed: Mutex::default(),
             jobs: Mutex::default(),
             crashes: Mutex::default(),
-            patience: Mutex::default(),
+            retry_detector: Mutex::default(),
             dropped_routes: Mutex::default(),
-            intake: Mutex::default(),
+            job_admission: Mutex::default(),
             config,
         };
         (node, detours)
@@ -162,8 +162,8 @@
     }
 
     /// Client deadlines seen on each route, by which retries are recognized.
-    pub fn patience(&self) -> MutexGuard<'_, RetryDetector> {
-        self.patience.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn retry_detector(&self) -> MutexGuard<'_, RetryDetector> {
+        self.retry_detector.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Routes that the configuration in force no longer contains.
@@ -172,8 +172,8 @@
     }
 
     /// Waiting work and available slots, by which jobs are admitted.
-    pub fn intake(&self) -> MutexGuard<'_, JobAdmissionTable> {
-        self.intake.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn job_admission(&self) -> MutexGuard<'_, JobAdmissionTable> {
+        self.job_admission.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// The routes of the configuration in force; `None` until a first one is known.
--- a/crates/entry/src/online/relay.rs
+++ b/crates/entry/src/online/relay.rs
@@ -62,7 +62,7 @@
 fn queue_limit(node: &EntryNode, request: &OnlineRequest) -> QueueLimit {
     let objective = request.route.objective;
     let Some(deadline) = request.client_deadline else { return QueueLimit::Any };
-    let is_retry = node.patience().is_retry(&request.route.name, deadline);
+    let is_retry = node.retry_detector().is_retry(&request.route.name, deadline);
     // Clients wait at most a third of their time before they retry.
     let can_retry = deadline >= objective * MIN_RETRY_OBJECTIVES;
     if is_retry || !can_retry || request.last_event().is_some() {
--- a/crates/entry/src/online/request.rs
+++ b/crates/entry/src/online/request.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use notch_h1::prelude::RequestHead;
-use notch_platform_wire::{client::prompt_heads, prelude::RequestHeaders};
+use notch_platform_wire::{client::prompt_prefixes, prelude::RequestHeaders};
 use notch_relay::prelude::*;
 use notch_types::prelude::*;
 
@@ -54,7 +54,7 @@
         let client_deadline = RequestHeaders::decode(&head.headers).deadline;
         let limit = client_deadline.map_or(route.timeout, |deadline| deadline.min(route.timeout));
         let fingerprint = CrashTable::fingerprint(&head.target, &body);
-        let prompt = prompt_heads(&head.headers);
+        let prompt = prompt_prefixes(&head.headers);
         let deadline = arrived + limit;
         Self {
             head,
--- a/crates/entry/src/online/slots.rs
+++ b/crates/entry/src/online/slots.rs
@@ -21,9 +21,9 @@
         let now = node.clock.mono();
         let step = search.next_step(&mut node.targets(), query, now, EntryNode::draw)?;
         match step {
-            SearchStep::Take(choice, yields) => {
-                if let Some(yields) = yields {
-                    revoke(node, &choice.id, &yields);
+            SearchStep::Take(choice, preempted) => {
+                if let Some(preempted) = preempted {
+                    revoke(node, &choice.id, &preempted);
                 }
                 return Some(choice);
             }
@@ -93,16 +93,16 @@
         None => PlaceAnswer::Denied(targets.shortest_queue(&query, now)),
     };
     drop(targets);
-    if let Some(SlotGrant { id, preempted: Some(yields) }) = &grant {
-        revoke(node, id, yields);
+    if let Some(SlotGrant { id, preempted: Some(preempted) }) = &grant {
+        revoke(node, id, preempted);
     }
     node.peers.send(peer, PeerMessage::PlaceAnswer { call, answer });
 }
 
 /// Has a batch item give up its slot at a target whose home is this gateway.
-pub fn revoke(node: &EntryNode, target: &str, yields: &PreemptedItem) {
+pub fn revoke(node: &EntryNode, target: &str, preempted: &PreemptedItem) {
     node.metrics.count(Counter::Event("item_places_revoked"));
-    match yields {
+    match preempted {
         PreemptedItem::Own => runner::preempt_newest_item(node, target),
         PreemptedItem::Peer(vm) => {
             node.peers.send(vm, PeerMessage::PlaceRevoke { target: target.to_owned() });
--- a/crates/entry/src/peers/demands.rs
+++ b/crates/entry/src/peers/demands.rs
@@ -91,7 +91,7 @@
     node: &EntryNode,
     peer: &VmName,
     demands: Vec<ServiceDemandReport>,
-    pace: ItemRunTimeStats,
+    run_time: ItemRunTimeStats,
 ) {
     let now = node.clock.mono();
     let work = |received: DueWorkReport| DueWork {
@@ -102,17 +102,17 @@
         let works = report.works.into_iter().map(work).collect();
         (report.service, WorkDemand::new(works))
     });
-    node.intake().take_demand(peer, demands.collect(), pace, now);
+    node.job_admission().take_demand(peer, demands.collect(), run_time, now);
 }
 
 fn update_slots(node: &EntryNode, now: MonoTime) {
     let places = node.targets().item_slots(now);
     let mut registry = node.jobs();
-    let mut intake = node.intake();
+    let mut admission = node.job_admission();
     for (service, places) in &places {
-        intake.record_slots(service, *places, now);
+        admission.record_slots(service, *places, now);
     }
-    intake.expire(|service| places.contains_key(service), now);
-    let pace = intake.run_time(registry.table.own_run_time().figures());
-    registry.table.set_shared_run_time(pace);
+    admission.expire(|service| places.contains_key(service), now);
+    let run_time = admission.run_time(registry.table.own_run_time().figures());
+    registry.table.set_shared_run_time(run_time);
 }
--- a/crates/entry/src/peers/links.rs
+++ b/crates/entry/src/peers/links.rs
@@ -58,7 +58,7 @@
         FeedEvent::Changed { object } => add_gateway(&node, object, &settings, &sink),
         FeedEvent::Deleted { object, .. } => {
             node.peers.remove_entry(&VmName::new(&object.metadata.name));
-            ownership::doubt_all(&node, "entry_gone", PeerSilence::Minority);
+            ownership::invalidate_all(&node, "entry_gone", PeerSilence::Minority);
         }
     })
     .await;
@@ -124,7 +124,7 @@
         LinkEvent::Up { peer, link } => {
             node.log.info("gateway_link_up", &[("gateway", &peer.vm)]);
             let silence = node.peers.link_up(&peer.vm, link, node.clock.mono());
-            ownership::doubt_all(node, "link_up", silence);
+            ownership::invalidate_all(node, "link_up", silence);
             let jobs = node.jobs().open_owned();
             let up_ms = node.clock.mono().since(MonoTime::default()).as_millis() as u64;
             let hello = PeerMessage::Hello { owner: node.owner.clone(), jobs, up_ms };
@@ -160,7 +160,7 @@
 /// in the store.
 fn note_heard(node: &Arc<EntryNode>, peer: &LinkPeer) {
     if let Some(silence) = node.peers.note_heard(&peer.vm, node.clock.mono()) {
-        ownership::doubt_all(node, "silence", silence);
+        ownership::invalidate_all(node, "silence", silence);
     }
 }
 
@@ -332,7 +332,7 @@
     for job in jobs {
         let is_owned = node.jobs().is_owned(job);
         if is_owned {
-            ownership::doubt(node, job, "claimed");
+            ownership::invalidate(node, job, "claimed");
         } else {
             let mut registry = node.jobs();
             if registry.is_busy(job) {
--- a/crates/entry/src/peers/table.rs
+++ b/crates/entry/src/peers/table.rs
@@ -70,7 +70,7 @@
     /// There is a link to it.
     Alive,
     /// There is no link, but not yet for long enough to consider it dead.
-    Doubtful,
+    Suspect,
     /// It restarted, hands its jobs over, or is considered dead.
     Gone,
 }
@@ -361,7 +361,7 @@
         self.peers().values().filter(|record| record.link.is_some()).count()
     }
 
-    /// Whether the gateway with the identity `owner` is alive at `now`. One without a link is first `Doubtful`, even
+    /// Whether the gateway with the identity `owner` is alive at `now`. One without a link is first `Suspect`, even
     /// if it is heard of for the first time: a gateway that has just started may own jobs before its entry is read
     /// here. Taken over at once, these would have two owners.
     pub fn liveness(&self, owner: &str, now: MonoTime) -> OwnerLiveness {
@@ -374,7 +374,7 @@
         } else if record.link.is_some() {
             OwnerLiveness::Alive
         } else if now.since(record.down_since) < record.dead_after() {
-            OwnerLiveness::Doubtful
+            OwnerLiveness::Suspect
         } else {
             OwnerLiveness::Gone
         }
--- a/crates/entry/src/route_cleanup.rs
+++ b/crates/entry/src/route_cleanup.rs
@@ -13,9 +13,9 @@
     let is_named =
         |name: &str| routes.routes().any(|route| WaitingLimit::is_of_route(name, &route.name));
     let mut known = node.limits.known_routes();
-    known.extend(node.patience().routes().map(str::to_owned));
+    known.extend(node.retry_detector().routes().map(str::to_owned));
     let due = node.dropped_routes().due(known, is_named, now);
-    let clients = node.patience().forget(&due);
+    let clients = node.retry_detector().forget(&due);
     let limits = limits::forget(node, &due);
     if clients + limits > 0 {
         node.log.info("routes_forgotten", &[("clients_of", &clients), ("limits_of", &limits)]);
--- a/crates/lab/src/simulation/items.rs
+++ b/crates/lab/src/simulation/items.rs
@@ -94,8 +94,8 @@
     }
 
     /// Preempts an item at a target of `home`, directly or by a message to the gateway that runs the item.
-    pub(super) fn revoke_slot(&mut self, home: usize, id: &str, yields: &PreemptedItem) {
-        match yields {
+    pub(super) fn revoke_slot(&mut self, home: usize, id: &str, preempted: &PreemptedItem) {
+        match preempted {
             PreemptedItem::Own => self.preempt_own_item(home, id),
             PreemptedItem::Peer(vm) => {
                 let Some(gateway) = self.gateways.iter().position(|g| g.vm == *vm) else { return };
--- a/crates/lab/src/simulation/online.rs
+++ b/crates/lab/src/simulation/online.rs
@@ -73,9 +73,9 @@
         let step = search.next_step(table, &query, now, || random.random());
         self.requests[request].search = search;
         match step {
-            Some(SearchStep::Take(choice, yields)) => {
-                if let Some(yields) = yields {
-                    self.revoke_slot(gateway, &choice.id, &yields);
+            Some(SearchStep::Take(choice, preempted)) => {
+                if let Some(preempted) = preempted {
+                    self.revoke_slot(gateway, &choice.id, &preempted);
                 }
                 self.send_to_target(request, &choice);
             }
@@ -109,8 +109,8 @@
         let peer = self.gateways[state.gateway].vm.clone();
         let query = online_query(state, QueueLimit::Any);
         let grant = self.gateways[home].table.grant(&peer, &query, may_displace, now);
-        if let Some(SlotGrant { id, preempted: Some(yields) }) = &grant {
-            self.revoke_slot(home, id, yields);
+        if let Some(SlotGrant { id, preempted: Some(preempted) }) = &grant {
+            self.revoke_slot(home, id, preempted);
         }
         let target = grant.map(|grant| grant.id);
         let table = &self.gateways[home].table;
--- a/crates/relay/tests/limit_counts.rs
+++ b/crates/relay/tests/limit_counts.rs
@@ -100,15 +100,16 @@
             millis += pause;
             let now = MonoTime::from_millis(millis);
             if is_job {
-                let room = fleet.holders[at].availability(fleet.used[at], amount, fleet.limit, true);
+                let availability =
+                    fleet.holders[at].availability(fleet.used[at], amount, fleet.limit, true);
                 let refusal = throttles[at].refusal(amount, fleet.limit, now, now);
-                if matches!(room, ShareAvailability::Missing(_)) && refusal.is_some() {
+                if matches!(availability, ShareAvailability::Missing(_)) && refusal.is_some() {
                     let older = totals.iter().rposition(|(at, _)| *at + 500 <= millis);
                     let mut recent = totals.iter().skip(older.unwrap_or(0));
                     prop_assert!(recent.any(|(_, total)| total + amount > fleet.limit));
                     continue;
                 }
-                if matches!(room, ShareAvailability::Missing(_)) {
+                if matches!(availability, ShareAvailability::Missing(_)) {
                     throttles[at].note_asked(now);
                     fleet.ask(at);
                     let used = fleet.holders[at].used_by_all(fleet.used[at]);
--- a/crates/relay/tests/limits.rs
+++ b/crates/relay/tests/limits.rs
@@ -102,15 +102,15 @@
 #[test]
 fn a_dead_gateways_share_is_reclaimed() {
     let at = MonoTime::from_millis;
-    let patience = Duration::from_secs(5);
+    let timeout = Duration::from_secs(5);
     let mut fleet = Fleet::new(2, 10_000);
     assert_eq!(fleet.admit(0, 100, &[true; 2], true), Admission::Admitted);
     assert_eq!(fleet.admit(1, 100, &[true; 2], true), Admission::Admitted);
     let holder = &mut fleet.holders[1];
-    assert_eq!(holder.silent_holders(|_| false, patience, at(1_000)), Vec::<String>::new());
-    assert_eq!(holder.silent_holders(|_| true, patience, at(7_000)), Vec::<String>::new());
-    assert_eq!(holder.silent_holders(|_| false, patience, at(8_000)), Vec::<String>::new());
-    assert_eq!(holder.silent_holders(|_| false, patience, at(13_000)), ["g-0#1"]);
+    assert_eq!(holder.silent_holders(|_| false, timeout, at(1_000)), Vec::<String>::new());
+    assert_eq!(holder.silent_holders(|_| true, timeout, at(7_000)), Vec::<String>::new());
+    assert_eq!(holder.silent_holders(|_| false, timeout, at(8_000)), Vec::<String>::new());
+    assert_eq!(holder.silent_holders(|_| false, timeout, at(13_000)), ["g-0#1"]);
     holder.lowered("g-0#1", 0, holder.revision());
     assert_eq!(fleet.admit(1, 9_900, &[false, true], true), Admission::Admitted);
 }
--- a/crates/relay/tests/support/mod.rs
+++ b/crates/relay/tests/support/mod.rs
@@ -106,8 +106,9 @@
 /// Single steps, for tests with slow writes.
 impl Fleet {
     pub fn use_held(&mut self, at: usize, amount: u64, in_touch: bool) {
-        let room = self.holders[at].availability(self.used[at], amount, self.limit, in_touch);
-        if room == ShareAvailability::Held {
+        let availability =
+            self.holders[at].availability(self.used[at], amount, self.limit, in_touch);
+        if availability == ShareAvailability::Held {
             self.used[at] += amount;
         }
     }
--- a/crates/relay/tests/targets.rs
+++ b/crates/relay/tests/targets.rs
@@ -316,14 +316,14 @@
 
 #[test]
 fn fingerprints_depend_on_model_and_part_order() {
-    let heads = |model, parts: &[(&'static str, u32)]| {
+    let prefixes = |model, parts: &[(&'static str, u32)]| {
         PromptPrefixes::of_parts(model, parts.iter().copied()).as_slice().to_vec()
     };
-    let one = heads("m", &[("a", 10), ("b", 20)]);
+    let one = prefixes("m", &[("a", 10), ("b", 20)]);
     assert_eq!(one.iter().map(|head| head.tokens).collect::<Vec<_>>(), [10, 30]);
-    assert_eq!(one[0], heads("m", &[("a", 10)])[0]);
-    assert_ne!(one[1].fingerprint, heads("m", &[("b", 20), ("a", 10)])[1].fingerprint);
-    assert_ne!(one[0].fingerprint, heads("n", &[("a", 10)])[0].fingerprint);
+    assert_eq!(one[0], prefixes("m", &[("a", 10)])[0]);
+    assert_ne!(one[1].fingerprint, prefixes("m", &[("b", 20), ("a", 10)])[1].fingerprint);
+    assert_ne!(one[0].fingerprint, prefixes("n", &[("a", 10)])[0].fingerprint);
 }
 
 /// Guards against all requests being late at a peak slightly above capacity: requests arrive faster
