--- a/crates/entry/src/constants.rs
+++ b/crates/entry/src/constants.rs
@@ -121,21 +121,21 @@
 pub const STORE_PAUSE: Duration = Duration::from_millis(400);
 /// The store must have been unreachable this long before calls are forwarded to another gateway. A lost
 /// answer or two don't justify that, and clients allow 4 s for a job to be accepted.
-pub const DETOUR_AFTER: Duration = Duration::from_millis(250);
+pub const FORWARD_AFTER: Duration = Duration::from_millis(250);
 /// Interval between direct store calls while all others are forwarded to another gateway. An unanswered direct
 /// call takes half a second; the first answered one ends the forwarding.
-pub const DETOUR_PROBE_INTERVAL: Duration = Duration::from_secs(3);
+pub const FORWARD_PROBE_INTERVAL: Duration = Duration::from_secs(3);
 /// Pause after another gateway could not reach the store either: it is probably down for all.
-pub const DETOUR_PAUSE: Duration = Duration::from_millis(1_000);
+pub const FORWARD_PAUSE: Duration = Duration::from_millis(1_000);
 /// Minimum interval between store reads of a job without an owner on behalf of a long-polling client.
 pub const UNOWNED_JOB_READ_INTERVAL: Duration = Duration::from_millis(2_000);
 /// Time beyond a watch's own wait after which its connection is considered dead.
 pub const WATCH_GRACE: Duration = Duration::from_millis(700);
 /// How long target entries that expired in a store outage are kept after it: live targets have renewed
 /// theirs within two seconds.
-pub const LAPSE_GRACE: Duration = Duration::from_millis(2_200);
+pub const EXPIRED_ENTRY_GRACE: Duration = Duration::from_millis(2_200);
 /// Minimum length of a store outage in which entries may have expired: three heartbeats of a target.
-pub const LAPSE_OUTAGE: Duration = Duration::from_millis(1_000);
+pub const MIN_EXPIRY_OUTAGE: Duration = Duration::from_millis(1_000);
 /// Maximum size of an object that is written to the store, which accepts 1 MiB.
 pub const OBJECT_BYTES: usize = 900 << 10;
 /// Maximum size of the results in one response; clients accept 1 MB.
@@ -165,12 +165,12 @@
 pub const LIMIT_PEER_TIMEOUT: Duration = Duration::from_millis(150);
 /// Interval at which the capacity left under limits is checked for the next jobs, in addition to after
 /// each job.
-pub const ROOM_TICK: Duration = Duration::from_millis(1_000);
+pub const CAPACITY_CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
 /// A gateway that has been gone this long loses its shares of limits. It accepts no more jobs on them, and
 /// those it sent to the store before have been stored or rejected by then.
 pub const SHARE_HOLDER_TIMEOUT: Duration = Duration::from_secs(5);
 /// Timeout of storing a job; after it the client is told that the outcome is unknown.
-pub const INTAKE_TIMEOUT: Duration = Duration::from_millis(2_500);
+pub const JOB_STORING_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Maximum total size of the open jobs that a gateway holds; more are refused.
 pub const JOB_BYTES: usize = 24 << 20;
 /// Maximum total size of cached results of closed jobs and of jobs that other gateways own.
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -88,9 +88,9 @@
     target_feed: Mutex<TargetFeed>,
     jobs: Mutex<JobRegistry>,
     crashes: Mutex<CrashTable>,
-    patience: Mutex<RetryDetector>,
+    retry_detector: Mutex<RetryDetector>,
     dropped_routes: Mutex<DroppedRoutes>,
-    intake: Mutex<JobAdmissionTable>,
+    job_admission: Mutex<JobAdmissionTable>,
 }
 
 impl EntryNode {
@@ -133,9 +133,9 @@
             target_feed: Mutex::default(),
             jobs: Mutex::default(),
             crashes: Mutex::default(),
-            patience: Mutex::default(),
+            retry_detector: Mutex::default(),
             dropped_routes: Mutex::default(),
-            intake: Mutex::default(),
+            job_admission: Mutex::default(),
             config,
         };
         (node, detours)
@@ -162,8 +162,8 @@
     }
 
     /// Client deadlines seen on each route, by which retries are recognized.
-    pub fn patience(&self) -> MutexGuard<'_, RetryDetector> {
-        self.patience.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn retry_detector(&self) -> MutexGuard<'_, RetryDetector> {
+        self.retry_detector.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Routes that the configuration in force no longer contains.
@@ -172,8 +172,8 @@
     }
 
     /// Waiting work and available slots, by which jobs are admitted.
-    pub fn intake(&self) -> MutexGuard<'_, JobAdmissionTable> {
-        self.intake.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn job_admission(&self) -> MutexGuard<'_, JobAdmissionTable> {
+        self.job_admission.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// The routes of the configuration in force; `None` until a first one is known.
@@ -276,7 +276,7 @@
     /// Applies an event of the store's target feed.
     pub fn apply_target_event(&self, event: FeedEvent<'_>) {
         let now = self.clock.mono();
-        let lapsed_until = self.store.outage().lapsed_until();
+        let expiry_grace_until = self.store.outage().expiry_grace_until();
         let mut feed = self.target_feed();
         let changes = match event {
             FeedEvent::Snapshot { objects, as_of, .. } => {
@@ -288,7 +288,7 @@
                         Err(error) => changes.extend(self.refuse_target(&mut feed, object, &error)),
                     }
                 }
-                changes.extend(feed.apply_list(entries, as_of, lapsed_until, now));
+                changes.extend(feed.apply_list(entries, as_of, expiry_grace_until, now));
                 changes
             }
             FeedEvent::Changed { object } => {
@@ -300,7 +300,7 @@
             }
             FeedEvent::Deleted { object, as_of } => {
                 let id = &object.metadata.name;
-                feed.remove(id, as_of, lapsed_until, now).into_iter().collect()
+                feed.remove(id, as_of, expiry_grace_until, now).into_iter().collect()
             }
         };
         let revision = feed.revision();
